--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 
 test: $(VENV)
 	.venv/bin/ruff check .
+	.venv/bin/ruff format --check .
 	.venv/bin/python -m pytest -q
 
 fuzz: $(VENV)
--- a/foxstep/advice/advice.py
+++ b/foxstep/advice/advice.py
@@ -7,11 +7,11 @@
 
 from foxstep.advice.weigh import advise, whole_system
 
-OFF_BY = 0.1             # a weight is told when it is this far off, as the ordinary tables have it
-COLD_OFF_BY = 0.5        # of a cold server, when this far above what it should be: at once
+OFF_BY = 0.1  # a weight is told when it is this far off, as the ordinary tables have it
+COLD_OFF_BY = 0.5  # of a cold server, when this far above what it should be: at once
 RULE, FRESH, CALM = 0.9, 0.5, 0.2  # parts of the backlog up to which lines may wait: with what a rule asks
-                                   # for, with all that a balancer newly asked for, with what can wait
-MOST = 0.4               # part of the backlog that one balancer's members may come to: they go out at once
+# for, with all that a balancer newly asked for, with what can wait
+MOST = 0.4  # part of the backlog that one balancer's members may come to: they go out at once
 
 
 def key(group, server):
@@ -29,7 +29,7 @@
     """A balancer that is joined, and what it is told."""
 
     def __init__(self):
-        self.groups, self.lines = {}, {}    # group -> {server: no new work asked}; line -> weight, 0: none
+        self.groups, self.lines = {}, {}  # group -> {server: no new work asked}; line -> weight, 0: none
         self.fresh, self.calm_at = True, 0  # its groups were read anew; when what can wait may be told
 
 
@@ -38,7 +38,7 @@
         self.head, self.backlog = site["head"], site["backlog"]
         self.period = 2 * site["cycle"]
         self.rolls, self.standing, self.picture, self.look_at = {}, None, None, 0
-        self.left_over = {}   # balancers that are still to be looked at, as a set in order
+        self.left_over = {}  # balancers that are still to be looked at, as a set in order
 
     # -- what comes in
 
@@ -117,8 +117,12 @@
             if room == CALM and not off:
                 continue
             # With a message under way anyhow, what is half as far off goes along.
-            lines = {n: w if abs(roll.lines.get(n, 0) - w) > OFF_BY / 2 * w or n not in roll.lines
-                     else roll.lines[n] for n, w in meant.items()}
+            lines = {
+                n: w
+                if abs(roll.lines.get(n, 0) - w) > OFF_BY / 2 * w or n not in roll.lines
+                else roll.lines[n]
+                for n, w in meant.items()
+            }
             changed = len(lines) if roll.fresh else sum(roll.lines.get(n) != w for n, w in lines.items())
             due.append((room, ident, lines, self.head + changed))
         return sorted(due, key=lambda one: -one[0])
--- a/foxstep/advice/register.py
+++ b/foxstep/advice/register.py
@@ -10,7 +10,7 @@
 
 class Answer(Enum):
     DONE = "done"
-    NOT_ACCEPTED = "not accepted"           # beyond a limit, or not this sender's to say
+    NOT_ACCEPTED = "not accepted"  # beyond a limit, or not this sender's to say
     ALREADY = "already registered"
     TWICE = "twice in the request"
     NOT_REGISTERED = "not registered"
@@ -30,9 +30,9 @@
 
 class Balancer:
     def __init__(self, ident):
-        self.ident, self.groups = ident, {}      # group -> {server: Entry}, in order
+        self.ident, self.groups = ident, {}  # group -> {server: Entry}, in order
         self.push = self.trust = self.changes_only = False
-        self.health, self.away_since = 0, None   # None while its session stands
+        self.health, self.away_since = 0, None  # None while its session stands
 
     def size(self):
         return sum(map(len, self.groups.values()))
@@ -46,7 +46,7 @@
         self.most_balancers, self.most_groups, self.most_members = most_balancers, most_groups, most_members
         self.most_lines = most_lines
         self.keep, self.balancers, self.members = keep, {}, 0
-        self.changed = {}                        # balancers whose roll is to be read anew, as a set in order
+        self.changed = {}  # balancers whose roll is to be read anew, as a set in order
 
     def next_changed(self):
         """A balancer whose roll has changed since it was last asked for, or None."""
--- a/foxstep/advice/weigh.py
+++ b/foxstep/advice/weigh.py
@@ -33,12 +33,13 @@
     warm = {s: w for s, w in picked.items() if known[s][2] == 1}
     if warm:
         there = sum(known[s][1] for s in picked)
-        mean = there / len(picked)                # stands for members whose usual weight is not known
+        mean = there / len(picked)  # stands for members whose usual weight is not known
         missing = sum(known[s][1] if s in known else mean for s in members if s not in picked)
         return {s: w if s in warm else w * there / (there + missing) for s, w in picked.items()}
-    for those in ([s for s in known if known[s][2] == 1 and not members[s]],
-                  [s for s in known if known[s][2] == 1]):
+    for those in (
+        [s for s in known if known[s][2] == 1 and not members[s]],
+        [s for s in known if known[s][2] == 1],
+    ):
         if those:
             return {s: known[s][1] for s in those}
     return picked or {s: usual * sure for s, (_, usual, sure) in known.items()}
-
--- a/foxstep/balance.py
+++ b/foxstep/balance.py
@@ -18,41 +18,41 @@
 from foxstep.fleet import OpType, Proxy, Ring, Server
 
 SECOND = 1_000_000
-OPEN = 1_000_000               # a level no proxy reaches: nothing is turned away
+OPEN = 1_000_000  # a level no proxy reaches: nothing is turned away
 
 # The design's values (docs/design.md); those marked * are open to tuning.
-PERIOD = SECOND                # about 1 s, in whole cycles of reports
-HEADROOM = 0.05                # * part of C kept free
-RHO = 0.2                      # * what a cap leaves above heard demand
-STEADY = 0.25                  # part of a period's latency in the steady one, whose least is the calm one
-KNEE, SHOWN = 1.1, 0.9         # C over the acked rate at longer waits; over what cores show in full rooms
+PERIOD = SECOND  # about 1 s, in whole cycles of reports
+HEADROOM = 0.05  # * part of C kept free
+RHO = 0.2  # * what a cap leaves above heard demand
+STEADY = 0.25  # part of a period's latency in the steady one, whose least is the calm one
+KNEE, SHOWN = 1.1, 0.9  # C over the acked rate at longer waits; over what cores show in full rooms
 TROUBLE_PERIODS = 3
 ERRORS_UP, LATENCY_UP = 2.0, 1.5
 GROWTH, FAST_GROWTH = 1.05, 1.25  # of C a calm period; ours: at most, while caps bind and cores idle
-ACT_AT = 0.8                   # levels act while use is above this part of C
-LEAST_CAP = 0.05               # of H / op types
-EARNINGS_POWER = 3             # * class weights: demand x earnings to this power
-STEP = 0.1                     # * the weight step's power, per period
-OFF_BY = 0.1                   # * a line is sent when this far off
+ACT_AT = 0.8  # levels act while use is above this part of C
+LEAST_CAP = 0.05  # of H / op types
+EARNINGS_POWER = 3  # * class weights: demand x earnings to this power
+STEP = 0.1  # * the weight step's power, per period
+OFF_BY = 0.1  # * a line is sent when this far off
 # Ours.
-CALM_ERRORS = 0.03             # errors under this part are calm
-BUSY, FULL = 0.75, 0.35        # busy cores from which trouble is the pool's; wait / mean target: rooms full
-FIT = 2                        # a reported load is believed within this factor of what the waits show
-BAD, BAD_TRIES = 0.5, 4        # aborted part, of so many tries, of a server bad where the fleet is not
-SOFT_PART = 0.15               # most of the fleet withdrawn on tries alone
-PACE = 0.5                     # part of the channel's stated speed that is counted on
-ROOM = 0.4                     # part of the backlog for what can wait; rule-bound changes may use 0.9
-TABLES = 0.12                  # part of the backlog up to which all joined proxies' tables may grow
-SPREAD = 2                     # one proxy brings a server less than one part in so many of its even load
-KEPT = 0.7                     # a line is picked about so many times while an idle connection lasts, or more
-CROSSING = 1.25                # a server of another zone counts as so much more crowded
+CALM_ERRORS = 0.03  # errors under this part are calm
+BUSY, FULL = 0.75, 0.35  # busy cores from which trouble is the pool's; wait / mean target: rooms full
+FIT = 2  # a reported load is believed within this factor of what the waits show
+BAD, BAD_TRIES = 0.5, 4  # aborted part, of so many tries, of a server bad where the fleet is not
+SOFT_PART = 0.15  # most of the fleet withdrawn on tries alone
+PACE = 0.5  # part of the channel's stated speed that is counted on
+ROOM = 0.4  # part of the backlog for what can wait; rule-bound changes may use 0.9
+TABLES = 0.12  # part of the backlog up to which all joined proxies' tables may grow
+SPREAD = 2  # one proxy brings a server less than one part in so many of its even load
+KEPT = 0.7  # a line is picked about so many times while an idle connection lasts, or more
+CROSSING = 1.25  # a server of another zone counts as so much more crowded
 NARROWER, LEAST_BREADTH = 0.7, 0.2  # a proxy's lines, a period, while tries fail and cores idle
-CROWDED = 1.5                  # a line goes to a server this much less crowded
-THIN = 2                       # ops that a proxy is thought to have had beside those that came
-MANY = 16                      # ops or tries from which on a short stretch says enough
-COLD_CAUTION = 0.8             # a cold server gets this part of what it surely can do,
-COLD_ENTRY = 0.25              # nothing below this part of its usual work,
-COLD_FAILING = 0.3             # and nothing where this part of all tries fails
+CROWDED = 1.5  # a line goes to a server this much less crowded
+THIN = 2  # ops that a proxy is thought to have had beside those that came
+MANY = 16  # ops or tries from which on a short stretch says enough
+COLD_CAUTION = 0.8  # a cold server gets this part of what it surely can do,
+COLD_ENTRY = 0.25  # nothing below this part of its usual work,
+COLD_FAILING = 0.3  # and nothing where this part of all tries fails
 
 
 class Controller:
@@ -64,24 +64,24 @@
         self.cycle = max(site.get("cycle", PERIOD), 1)
         self.period = max(1, round(PERIOD / self.cycle)) * self.cycle
         self.span = max(2, -(-2 * SECOND // self.cycle))  # buckets that make up what counts as recent
-        self.servers, self.proxies = {}, {}      # by id, for the door only
-        self.want, self.urgent = {}, {}          # the shared table; the proxies that cannot wait, in order
+        self.servers, self.proxies = {}, {}  # by id, for the door only
+        self.want, self.urgent = {}, {}  # the shared table; the proxies that cannot wait, in order
         self.deciding, self.pressing = None, True  # the orders under way; something cannot wait
         self.breadth, self.place_at = 1.0, now + 3 * self.period  # part of lines held; kinds are measured at
         self.due, self.decided_at, self.reported = now, now - self.period, False
-        self.shift = None                        # puts the reports' arrival into the middle of a bucket
+        self.shift = None  # puts the reports' arrival into the middle of a bucket
         self.ask_again, self.ask_wake, self.list_fails = now, None, 0
-        self.capacity = None                     # C, in ops a second of this controller's own proxies
-        self.rates = 0.0                         # what those usually get, as C was last brought up to it
-        self.power = self.usual_power = 0.0      # usual work that the servers surely can do now; and lately
-        self.per_power = None                    # C for each part of it, as busy cores show while it is calm
-        self.trouble = 0                         # periods of it in a row; below 0: of waiting after a cut
+        self.capacity = None  # C, in ops a second of this controller's own proxies
+        self.rates = 0.0  # what those usually get, as C was last brought up to it
+        self.power = self.usual_power = 0.0  # usual work that the servers surely can do now; and lately
+        self.per_power = None  # C for each part of it, as busy cores show while it is calm
+        self.trouble = 0  # periods of it in a row; below 0: of waiting after a cut
         self.calm_latency = self.lately = self.target / 3
         self.binding = False
         self.caps = [None] * len(self.op_types)  # ops a second let in; None: all
-        self.quotas = self.caps                  # what proxies' quotas sum up to, for that to be let in
+        self.quotas = self.caps  # what proxies' quotas sum up to, for that to be let in
         self.waiting, self.waiting_at = 0.0, now  # lines thought to wait in the channel
-        self.pace, self.marked = PACE, 0.0       # part of its stated speed, lines waiting at the last mark
+        self.pace, self.marked = PACE, 0.0  # part of its stated speed, lines waiting at the last mark
 
     # -- what comes in: only what is known changes ---------------------------------------------------
 
@@ -285,7 +285,7 @@
         # The middle half of the servers, by all their tries together: of a handful each, a single one's mean,
         # and so the median of those that have enough, says next to nothing.
         waits = sorted((s.tried[3] / s.tried[2], *s.tried[2:]) for s in trusted if s.tried[2])
-        middle = waits[len(waits) // 4:len(waits) - len(waits) // 4]
+        middle = waits[len(waits) // 4 : len(waits) - len(waits) // 4]
         self.latency = sum(total for *_, total in middle) / max(sum(acked for _, acked, _ in middle), 1)
         if self.latency:  # from the first calm one on: at a start only what was quick has been answered
             self.lately += (self.latency - self.lately) * STEADY
@@ -368,7 +368,8 @@
                 elif server.trust < 1 and self.now - server.trust_since >= 2 * self.period:
                     server.trust, server.trust_since = min(1.0, server.trust * 2), self.now
             elif (server.probes_good > 1 or not believed) and (
-                    self.now - server.trust_since >= self.period * 2**server.strikes):
+                self.now - server.trust_since >= self.period * 2**server.strikes
+            ):
                 # The trial is graded like a cold start, since it may be one that the list does not tell yet;
                 # each strike doubles the wait, against flapping and servers that fail fast yet answer probes.
                 server.trust, server.trust_since = self.site.get("cold_share", 0.2), self.now
@@ -456,26 +457,33 @@
         steady = abs(self.power - self.usual_power) <= OFF_BY * self.usual_power
         if shown and steady and enough and not (slow or near or failing):
             found = shown / max(self.power, 0.1)
-            self.per_power = found if self.per_power is None else (
-                self.per_power + (found - self.per_power) * STEADY)
+            self.per_power = (
+                found if self.per_power is None else (self.per_power + (found - self.per_power) * STEADY)
+            )
         fallen = self.per_power and self.power < ACT_AT * self.usual_power
         left = fallen and SHOWN * self.per_power * self.power
         limit = min(filter(None, (self.capacity, left)), default=None)
         self.binding = bool(limit) and sum(self.demand) > ACT_AT * limit
         self.caps = self.fill(self.demand, limit) if self.binding else [None] * len(self.demand)
         proxies = len(self.joined_proxies())
-        self.quotas = [cap and cap * self.stretch(cap, heard, proxies)
-                       for cap, heard in zip(self.caps, self.demand, strict=True)]
-        yield ("note", f"C {self.capacity or 0:.0f} heard {[round(h) for h in self.demand]} "
-               f"tried {self.tried:.0f} acked {self.acked:.0f} "
-               f"lat {self.latency / 1000:.0f} calm {self.calm_latency / 1000:.0f} "
-               f"err {self.errors:.2f} caps {[cap and round(cap) for cap in self.caps]}")
+        self.quotas = [
+            cap and cap * self.stretch(cap, heard, proxies)
+            for cap, heard in zip(self.caps, self.demand, strict=True)
+        ]
+        yield (
+            "note",
+            f"C {self.capacity or 0:.0f} heard {[round(h) for h in self.demand]} "
+            f"tried {self.tried:.0f} acked {self.acked:.0f} "
+            f"lat {self.latency / 1000:.0f} calm {self.calm_latency / 1000:.0f} "
+            f"err {self.errors:.2f} caps {[cap and round(cap) for cap in self.caps]}",
+        )
 
     def fill(self, heard, capacity):
         """Weighted water filling: what one op type cannot use passes to the others by weight, in turn."""
         budget = (1 - HEADROOM) * capacity
-        weights = [max(d, 0.1) * o.earnings**EARNINGS_POWER
-                   for o, d in zip(self.op_types, heard, strict=True)]
+        weights = [
+            max(d, 0.1) * o.earnings**EARNINGS_POWER for o, d in zip(self.op_types, heard, strict=True)
+        ]
         least, left = LEAST_CAP * budget / len(heard), list(range(len(heard)))
         while left:
             level = budget / sum(weights[k] for k in left)
@@ -492,7 +500,7 @@
         quota is all that comes, so that a proxy with an op now and then would turn half of them away. Harm:
         proxies that save more let in more than the cap."""
         let_in, ops = min(cap / max(heard, 0.1), 0.95), heard / max(proxies, 1)
-        low, high = 0.0, 64.0                    # what comes against what the quota renews
+        low, high = 0.0, 64.0  # what comes against what the quota renews
         for _ in range(16):
             load = (low + high) / 2
             holds = min(max(1.0, ops / load * self.cycle / SECOND), 100.0)
@@ -531,8 +539,9 @@
         sent = (self.now - self.waiting_at) / SECOND * self.site.get("lines_per_s", 1000) * self.pace
         self.waiting, self.waiting_at = max(0.0, self.waiting - sent), self.now
         most = self.site.get("messages_most", 0)
-        return (self.waiting + lines <= (ROOM if calm else 0.9) * self.site.get("backlog", 1000) and (
-            not most or proxy.messages.sums(self.now)[0] + 1 <= (0.6 if calm else 0.95) * most))
+        return self.waiting + lines <= (ROOM if calm else 0.9) * self.site.get("backlog", 1000) and (
+            not most or proxy.messages.sums(self.now)[0] + 1 <= (0.6 if calm else 0.95) * most
+        )
 
     def table_size(self, proxy):
         """How many lines of the shared table a proxy holds: all on a small fleet. On a large one the site's
@@ -550,7 +559,7 @@
     def rank_servers(self):
         """The servers of each zone as a heap, the least crowded first: what one proxy's table takes is found
         without a look at all of them. An entry that has become untrue is put right as it comes up."""
-        self.ranks, self.turns = {}, count()     # a turn of its own for each entry: servers have no order
+        self.ranks, self.turns = {}, count()  # a turn of its own for each entry: servers have no order
         for server in self.want:
             self.ranks.setdefault(server.zone, []).append((self.crowd(server), next(self.turns), server))
         for heap in self.ranks.values():
@@ -577,6 +586,7 @@
     def line_changes(self, proxy, tick):
         """What brings a proxy's part of the shared table up to date: 0 removes a line. Its servers are those
         that the tables bring the fewest ops against their weight, near ones before those of other zones."""
+
         def crowded(server):
             return self.crowd(server) * (1 if server.zone == proxy.zone else CROSSING)
 
@@ -679,5 +689,7 @@
             ordered = proxy.levels[place]
             if ordered is None or ordered[1] != tries or abs(ordered[0] - quota) > OFF_BY * ordered[0]:
                 grouped.setdefault((quota, tries), []).append(place)
-        return [(sum(1 << place for place in places), quota, tries, places)
-                for (quota, tries), places in grouped.items()]
+        return [
+            (sum(1 << place for place in places), quota, tries, places)
+            for (quota, tries), places in grouped.items()
+        ]
--- a/foxstep/capture/replay.py
+++ b/foxstep/capture/replay.py
@@ -6,7 +6,7 @@
 
 from foxstep.capture.tape import END, LOST, ORDER, Taped, Unsound
 
-BEFORE = 5      # inputs that are shown before a difference
+BEFORE = 5  # inputs that are shown before a difference
 
 
 def line_of(at, order):
--- a/foxstep/capture/tape.py
+++ b/foxstep/capture/tape.py
@@ -15,12 +15,18 @@
 import pyarrow.parquet as pq
 import structlog
 
-ROWS = 20_000            # rows of a part
-AHEAD = 64               # parts that may wait to be written
+ROWS = 20_000  # rows of a part
+AHEAD = 64  # parts that may wait to be written
 START = "start.msgpack"
-ORDER, END, LOST = "order", "end", "lost"   # an order, the end of a batch's orders, rows that are missing
-SCHEMA = pa.schema([("at", pa.int64()), ("verb", pa.dictionary(pa.int8(), pa.string())),
-                    ("who", pa.dictionary(pa.int32(), pa.string())), ("told", pa.binary())])
+ORDER, END, LOST = "order", "end", "lost"  # an order, the end of a batch's orders, rows that are missing
+SCHEMA = pa.schema(
+    [
+        ("at", pa.int64()),
+        ("verb", pa.dictionary(pa.int8(), pa.string())),
+        ("who", pa.dictionary(pa.int32(), pa.string())),
+        ("told", pa.binary()),
+    ]
+)
 encode = msgspec.msgpack.encode
 
 
@@ -58,8 +64,10 @@
 
     def write_all(self):
         while (columns := self.parts.get()) is not None:
-            made = pa.table([pa.array(column, type=field.type) for column, field in
-                             zip(columns, SCHEMA, strict=True)], schema=SCHEMA)
+            made = pa.table(
+                [pa.array(column, type=field.type) for column, field in zip(columns, SCHEMA, strict=True)],
+                schema=SCHEMA,
+            )
             path = os.path.join(self.folder, f"part-{self.count:06d}.parquet")
             try:
                 pq.write_table(made, path + ".new", compression="zstd")
@@ -81,8 +89,19 @@
 class Taped:
     """A decision module whose calls and orders go to a tape; for whatever else it is the module itself."""
 
-    CALLS = ("listed", "woken", "probed", "told", "joined", "left", "heard", "used", "applied", "learnt",
-             "inherited")
+    CALLS = (
+        "listed",
+        "woken",
+        "probed",
+        "told",
+        "joined",
+        "left",
+        "heard",
+        "used",
+        "applied",
+        "learnt",
+        "inherited",
+    )
 
     def __init__(self, module, tape):
         self.module, self.tape = module, tape
@@ -95,6 +114,7 @@
         def noted(now, *args):
             note(now, verb, str(args[0]) if args else "", args)
             call(now, *args)
+
         return noted
 
     def next_order(self, now):
--- a/foxstep/commands/advise.py
+++ b/foxstep/commands/advise.py
@@ -24,11 +24,13 @@
     def show(group):
         lines = "  ".join(f"{s}={shown(*told)}" for s, told in balancer.weights[group].items())
         click.echo(f"{time.monotonic() - began:8.2f} s  {group}: {lines}")
+
     balancer = Balancer(ident, address, groups, push, on_weights=show)
 
     async def follow():
         with anyio.move_on_after(seconds):
             await balancer.run()
+
     try:
         anyio.run(follow)
     except KeyboardInterrupt:
--- a/foxstep/commands/capture.py
+++ b/foxstep/commands/capture.py
@@ -22,10 +22,14 @@
     except Unsound as error:
         raise click.ClickException(str(error)) from None
     site = start["site"]
-    click.echo(f"seed {start['seed']}, {len(site['op_types'])} op types, controller {site['me']} of "
-               f"{site['controllers']}")
-    click.echo(f"{sum(verbs.values())} rows over {((last or 0) - (first or 0)) / 1e6:.1f} s"
-               + (f", {lost} LOST" if lost else ""))
+    click.echo(
+        f"seed {start['seed']}, {len(site['op_types'])} op types, controller {site['me']} of "
+        f"{site['controllers']}"
+    )
+    click.echo(
+        f"{sum(verbs.values())} rows over {((last or 0) - (first or 0)) / 1e6:.1f} s"
+        + (f", {lost} LOST" if lost else "")
+    )
     for verb, count in verbs.most_common():
         click.echo(f"  {verb:10} {count:9}")
 
--- a/foxstep/commands/inspect.py
+++ b/foxstep/commands/inspect.py
@@ -19,18 +19,24 @@
         click.echo(json.dumps(view, indent=1))
         return
     channel, capacity = view["channel"], view["capacity"]
-    click.echo(f"epoch {view['epoch']}  C {'unset' if capacity is None else f'{capacity:.1f} ops/s'}  "
-               f"channel {channel['waiting']:.0f} of {channel['backlog']:.0f} lines "
-               f"(most {channel['most_waiting']:.0f}, owed {channel['owed']})")
+    click.echo(
+        f"epoch {view['epoch']}  C {'unset' if capacity is None else f'{capacity:.1f} ops/s'}  "
+        f"channel {channel['waiting']:.0f} of {channel['backlog']:.0f} lines "
+        f"(most {channel['most_waiting']:.0f}, owed {channel['owed']})"
+    )
     for op_type, cap in view["caps"].items():
         click.echo(f"  cap {op_type}: {'none' if cap is None else f'{cap:.1f} ops/s'}")
     for server, state in sorted(view["servers"].items()):
         click.echo(f"  server {server} {state}")
     for ident, proxy in sorted(view["proxies"].items()):
-        click.echo(f"  proxy {ident} {proxy['zone']} delivered {proxy['delivered']} accepted "
-                   f"{proxy['accepted']} refused {proxy['refused']} {proxy['last_refusal']}")
+        click.echo(
+            f"  proxy {ident} {proxy['zone']} delivered {proxy['delivered']} accepted "
+            f"{proxy['accepted']} refused {proxy['refused']} {proxy['last_refusal']}"
+        )
         for op_type, lines in proxy["lines"].items():
             held = " ".join(f"{s}={w:g}" for s, w in (lines or {}).items())
             level = proxy["levels"][op_type]
-            click.echo(f"    {op_type}: {held or 'no table of ours'}"
-                       + (f"  level {level[0]:g} tries {level[1]}" if level else ""))
+            click.echo(
+                f"    {op_type}: {held or 'no table of ours'}"
+                + (f"  level {level[0]:g} tries {level[1]}" if level else "")
+            )
--- a/foxstep/commands/line.py
+++ b/foxstep/commands/line.py
@@ -65,29 +65,75 @@
 @click.option("--me", type=click.IntRange(0, 63), help="this controller's number, the site's if not told")
 @click.option("--zone", help="this controller's zone, the site's if not told")
 @click.option("--notes", callback=loopback, help="address (UDP) to hear the other controllers on")
-@click.option("--peer", "peers", multiple=True, callback=peers_of, metavar="N=NOTES,ADDRESS,ZONE",
-              help="another controller: its number, where it hears notes and proxies; may be given again")
+@click.option(
+    "--peer",
+    "peers",
+    multiple=True,
+    callback=peers_of,
+    metavar="N=NOTES,ADDRESS,ZONE",
+    help="another controller: its number, where it hears notes and proxies; may be given again",
+)
 @click.option("--lose", type=click.FloatRange(0, 1), default=0.0, help="part of its notes that a drill loses")
 @click.option("--state", type=click.Path(file_okay=False), help="folder for what outlives a restart")
 @click.option("--seed", type=int, default=1, help="of this controller's chance")
-@click.option("--decider", type=click.Choice(["balance", "even"]), default="balance",
-              help="even: a baseline, every open server to every proxy alike")
-@click.option("--outside", multiple=True, callback=pairs, metavar="NAME=VALUE",
-              help="a value for the site file's std.extVar")
+@click.option(
+    "--decider",
+    type=click.Choice(["balance", "even"]),
+    default="balance",
+    help="even: a baseline, every open server to every proxy alike",
+)
+@click.option(
+    "--outside",
+    multiple=True,
+    callback=pairs,
+    metavar="NAME=VALUE",
+    help="a value for the site file's std.extVar",
+)
 @click.option("--tell", is_flag=True, help="print the address on standard output, once ready")
 @click.option("--capture", type=click.Path(file_okay=False), help="folder for what is decided on, to replay")
-@click.option("--off", multiple=True, type=click.Choice(["bare", "twice", "drain", "cold", "queue"]),
-              help="switch a guard off, to see a drill fail")
-def serve(site, listen, list_address, sasp, state, seed, decider, outside, tell, off, me, zone, peers,
-          capture, **told):
+@click.option(
+    "--off",
+    multiple=True,
+    type=click.Choice(["bare", "twice", "drain", "cold", "queue"]),
+    help="switch a guard off, to see a drill fail",
+)
+def serve(
+    site,
+    listen,
+    list_address,
+    sasp,
+    state,
+    seed,
+    decider,
+    outside,
+    tell,
+    off,
+    me,
+    zone,
+    peers,
+    capture,
+    **told,
+):
     """Run a controller of SITE until SIGTERM or ctrl-C."""
     from foxstep.commands.serve import run
+
     checked = read_site(site, **outside)
     if peers and not told["notes"]:
         raise click.UsageError("--peer needs --notes: where the others' notes are heard")
     me = checked.controllers.me if me is None else me
-    run(checked, listen, list_address, state, seed, decider, tell, off, sasp,
-        {"me": me, "zone": zone, "peers": peers, **told}, capture)
+    run(
+        checked,
+        listen,
+        list_address,
+        state,
+        seed,
+        decider,
+        tell,
+        off,
+        sasp,
+        {"me": me, "zone": zone, "peers": peers, **told},
+        capture,
+    )
 
 
 @main.command()
@@ -95,6 +141,7 @@
 def capture(folder):
     """Print what the capture in FOLDER holds; `foxstep serve --capture FOLDER` makes one."""
     from foxstep.commands.capture import show
+
     show(folder)
 
 
@@ -105,6 +152,7 @@
 def replay(folder, orders, on):
     """Play the capture in FOLDER to this version's decisions; exit 0 only if every order is as it was."""
     from foxstep.commands.capture import replay as run
+
     run(folder, orders, on)
 
 
@@ -122,6 +170,7 @@
 def inspect(address, raw):
     """Print what the controller at ADDRESS knows and what each proxy holds."""
     from foxstep.commands.inspect import run
+
     run(address, raw)
 
 
@@ -131,19 +180,28 @@
 def servers(address, cluster):
     """Print the list of servers as the list service at ADDRESS tells it."""
     from foxstep.commands.servers import run
+
     run(address, cluster)
 
 
 @main.command()
 @click.argument("address", callback=loopback)
 @click.option("--id", "ident", default="balancer", help="its name; no two may share one")
-@click.option("--group", "groups", multiple=True, required=True, callback=groups_of,
-              metavar="NAME=SERVER,...", help="what it registers; may be given again")
+@click.option(
+    "--group",
+    "groups",
+    multiple=True,
+    required=True,
+    callback=groups_of,
+    metavar="NAME=SERVER,...",
+    help="what it registers; may be given again",
+)
 @click.option("--pull", is_flag=True, help="ask for weights instead of having them sent")
 @click.option("--seconds", type=click.FloatRange(0.1), help="stop after so many")
 def advise(address, ident, groups, pull, seconds):
     """Register servers with the controller at ADDRESS over SASP and print the weights it advises."""
     from foxstep.commands.advise import run
+
     run(address, ident, groups, not pull, seconds)
 
 
@@ -157,6 +215,7 @@
 def drill(name, seconds, folder, break_rule, baseline, seed):
     """Play the bad day NAME through the live program and judge the rules from its record."""
     from foxstep.commands.drill import run
+
     run(name, seconds, folder, break_rule, baseline, seed)
 
 
@@ -167,6 +226,7 @@
 def measure(sizes, servers, seconds):
     """Measure a controller at several sizes: order to acceptance, CPU, memory, report intake."""
     from foxstep.measure.fleet import run
+
     run([int(size) for size in sizes.split(",")], servers, seconds)
 
 
@@ -181,6 +241,7 @@
 def proxy(site, ident, zone, listen, controllers, standing, tell):
     """Run a proxy that forwards gRPC ops exactly as its controller's tables say."""
     from foxstep.commands.proxy import run
+
     for address in (*controllers, *standing):
         loopback(None, None, address)
     told = read_site(site)
@@ -209,6 +270,7 @@
 def tables_list(address, most):
     """Print the newest versions, why they came and how they did, and the rollbacks."""
     from foxstep.commands.tables import show_list
+
     show_list(address, most)
 
 
@@ -219,6 +281,7 @@
 def tables_show(address, proxy, version):
     """Print what every proxy holds, or one PROXY's table."""
     from foxstep.commands.tables import show_table
+
     show_table(address, proxy, version)
 
 
@@ -229,6 +292,7 @@
 def tables_diff(address, old, new):
     """Print what differs between versions OLD and NEW ("last-good" is one)."""
     from foxstep.commands.tables import show_diff
+
     show_diff(address, old, new)
 
 
@@ -240,6 +304,7 @@
 def tables_rollback(address, version, zone, proxy, wait):
     """Bring proxies back to VERSION ("last-good" is one) in waves, and hold them there."""
     from foxstep.commands.tables import order
+
     sys.exit(0 if order(address, "rollback", scope_of(zone, proxy), version, wait=wait) else 1)
 
 
@@ -251,6 +316,7 @@
 def tables_pin(address, version, zone, proxy, wait):
     """Like rollback, but all at once."""
     from foxstep.commands.tables import order
+
     sys.exit(0 if order(address, "pin", scope_of(zone, proxy), version, wait=wait) else 1)
 
 
@@ -261,6 +327,7 @@
 def tables_put(address, lines, zone, proxy):
     """Hold proxies to a table made by hand, as far as the rules leave it."""
     from foxstep.commands.tables import order
+
     try:
         table = {line.rpartition("=")[0]: float(line.rpartition("=")[2]) for line in lines}
     except ValueError:
@@ -274,6 +341,7 @@
 def tables_unpin(address, zone, proxy):
     """Let proxies follow the ordinary tables again."""
     from foxstep.commands.tables import question
+
     ended = question(address, "unpin", scope=scope_of(zone, proxy))["ended"]
     click.echo(f"{ended} ended")
 
@@ -282,6 +350,7 @@
 def measure_tables():
     """Measure what versions cost in memory and in the store, beside plain copies."""
     from foxstep.measure.tables import run
+
     run()
 
 
@@ -290,6 +359,7 @@
 def measure_proxy(seconds):
     """Measure the proxy beside a direct client and a bare pass-through, and what a pick costs."""
     from foxstep.measure.proxy import run
+
     run(seconds)
 
 
@@ -298,6 +368,7 @@
 def measure_sasp(sizes):
     """Measure the SASP front: codec, push latency, memory a session, questions a second."""
     from foxstep.measure.sasp import run
+
     run([tuple(map(int, size.split("x"))) for size in sizes.split(",")])
 
 
@@ -308,6 +379,7 @@
 def peers(address, drain, move):
     """Print what the controller at ADDRESS knows of its peers, and whom it serves."""
     from foxstep.commands.peers import run
+
     run(address, drain, move)
 
 
@@ -316,6 +388,7 @@
 def measure_intake(seconds):
     """Measure reading of reports, sampling, memory, structures, and orders under a flood of reports."""
     from foxstep.measure.intake import run
+
     run(seconds)
 
 
@@ -324,6 +397,7 @@
 def measure_takeover(sizes):
     """Measure how long proxies are without an owner when their controller dies or stands still."""
     from foxstep.measure.takeover import run
+
     run([int(size) for size in sizes.split(",")])
 
 
@@ -334,6 +408,7 @@
 def measure_joining(sizes, servers, part):
     """Measure the CPU of a controller of the platform's to which most of a fleet comes at once."""
     from foxstep.measure.joining import main as run
+
     run([int(size) for size in sizes.split(",")], servers, part)
 
 
@@ -342,4 +417,5 @@
 def measure_peers(seconds):
     """Measure how soon a dead controller is found, false alarms and bytes, and moves of proxies."""
     from foxstep.measure.peers import run
+
     run(seconds)
--- a/foxstep/commands/logs.py
+++ b/foxstep/commands/logs.py
@@ -7,11 +7,20 @@
 
 
 def set_up(form, level):
-    render = (structlog.processors.JSONRenderer() if form == "json"
-              else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty()))
+    render = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.contextvars.merge_contextvars,
-                    structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info, render],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.contextvars.merge_contextvars,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            render,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
-        logger_factory=structlog.WriteLoggerFactory(sys.stderr), cache_logger_on_first_use=False)
+        logger_factory=structlog.WriteLoggerFactory(sys.stderr),
+        cache_logger_on_first_use=False,
+    )
--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -21,12 +21,18 @@
 from foxstep.xds.probes import Prober
 
 STOP_WITHIN = 0.3
-OPTIONS = [("grpc.so_reuseport", 0), ("grpc.max_receive_message_length", MOST_REPORT),
-           ("grpc.max_concurrent_streams", 10_000), ("grpc.keepalive_time_ms", 5_000),
-           ("grpc.keepalive_timeout_ms", 2_000), ("grpc.http2.ping_timeout_ms", 2_000),
-           ("grpc.http2.max_pings_without_data", 0),
-           # Proxies ping often, also in the moment between two streams: that ends no connection.
-           ("grpc.http2.min_recv_ping_interval_without_data_ms", 50), ("grpc.http2.max_ping_strikes", 0)]
+OPTIONS = [
+    ("grpc.so_reuseport", 0),
+    ("grpc.max_receive_message_length", MOST_REPORT),
+    ("grpc.max_concurrent_streams", 10_000),
+    ("grpc.keepalive_time_ms", 5_000),
+    ("grpc.keepalive_timeout_ms", 2_000),
+    ("grpc.http2.ping_timeout_ms", 2_000),
+    ("grpc.http2.max_pings_without_data", 0),
+    # Proxies ping often, also in the moment between two streams: that ends no connection.
+    ("grpc.http2.min_recv_ping_interval_without_data_ms", 50),
+    ("grpc.http2.max_ping_strikes", 0),
+]
 
 
 async def wait_for_signal(scope):
@@ -38,14 +44,17 @@
 
 def taping(make, folder, tapes):
     """`make`, with all that the module is told and orders going to a tape in `folder`, added to `tapes`."""
+
     def taped(now, plain, seed):
         tapes.append(Tape(folder, now, plain, seed))
         return Taped(make(now, plain, seed), tapes[0])
+
     return taped
 
 
-async def serve(site, listen, list_address, state, seed, make, tell, off=(), sasp=None,
-                shared=None, capture=None):
+async def serve(
+    site, listen, list_address, state, seed, make, tell, off=(), sasp=None, shared=None, capture=None
+):
     """Runs a controller of `site` on `listen`, and its SASP front on `sasp` where that is given; the log's
     `ready` event tells the addresses."""
     log = structlog.get_logger("foxstep")
@@ -55,8 +64,10 @@
     tapes = []
     make = taping(make, capture, tapes) if capture else make
     host = ServingHost(plain, seed, clock, wall, state, off, make, site.reports.cpu_part)
-    op_types = [{"name": o.name, "method": o.method,
-                 "try_wait": round(site.proxies.try_aims * o.target_latency)} for o in site.op_types]
+    op_types = [
+        {"name": o.name, "method": o.method, "try_wait": round(site.proxies.try_aims * o.target_latency)}
+        for o in site.op_types
+    ]
     front = Front(host, site.name, op_types)
     server = grpc.aio.server(options=OPTIONS)
     front.add_to(server)
@@ -76,8 +87,14 @@
         advised = {"sasp": f"{host_part}:{asking.extra(anyio.abc.SocketAttribute.local_port)}"}
     if tell:
         print(f"{listen.rpartition(':')[0]}:{port}", flush=True)
-    log.info("ready", address=f"{listen.rpartition(':')[0]}:{port}", site=site.name, epoch=host.epoch,
-             me=me, **advised)
+    log.info(
+        "ready",
+        address=f"{listen.rpartition(':')[0]}:{port}",
+        site=site.name,
+        epoch=host.epoch,
+        me=me,
+        **advised,
+    )
     try:
         async with anyio.create_task_group() as group:
             group.start_soon(wait_for_signal, group.cancel_scope)
@@ -88,8 +105,9 @@
                 advice = msgspec.structs.asdict(site.advice)
                 group.start_soon(SaspFront(host, advice).run, asking)
             if list_address:
-                group.start_soon(ListClient(host, list_address, site.server_list.cluster,
-                                            f"controller-{me}").run)
+                group.start_soon(
+                    ListClient(host, list_address, site.server_list.cluster, f"controller-{me}").run
+                )
     finally:
         with anyio.CancelScope(shield=True):
             if sharing:
@@ -102,8 +120,19 @@
         log.info("stopped", orders=host.orders, messages=host.channel.sent_messages)
 
 
-def run(site, listen, list_address, state, seed, decider="balance", tell=False, off=(), sasp=None,
-        shared=None, capture=None):
+def run(
+    site,
+    listen,
+    list_address,
+    state,
+    seed,
+    decider="balance",
+    tell=False,
+    off=(),
+    sasp=None,
+    shared=None,
+    capture=None,
+):
     make = Controller
     if decider == "even":
         from foxstep.drills.even import Even as make
--- a/foxstep/commands/servers.py
+++ b/foxstep/commands/servers.py
@@ -17,8 +17,11 @@
     """Lines as `interface.Listed`, starts in wall-clock microseconds."""
     async with grpc.aio.insecure_channel(address) as channel:
         call = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel).StreamEndpoints(timeout=within)
-        await call.write(discovery_pb2.DiscoveryRequest(
-            node=resources.node("foxstep-servers", ""), resource_names=[cluster], type_url=resources.LINES))
+        await call.write(
+            discovery_pb2.DiscoveryRequest(
+                node=resources.node("foxstep-servers", ""), resource_names=[cluster], type_url=resources.LINES
+            )
+        )
         response = await call.read()
         call.cancel()
         if response is grpc.aio.EOF:
--- a/foxstep/commands/tables.py
+++ b/foxstep/commands/tables.py
@@ -23,18 +23,28 @@
     answer = question(address, "list", most=most)
     for entry in answer["versions"]:
         age = (answer["now"] - entry["at"]) / 1e6
-        marks = " ".join(word for word in ("kept" if entry["kept"] else "", entry["judged"],
-                                           "<- last good" if entry["version"] == answer["last_good"] else "")
-                         if word)
-        click.echo(f"{entry['version']:>20}  {age:8.1f} s ago  {entry['changed']:4} of {entry['proxies']:4} "
-                   f"proxies  {marks:24} {entry['cause'][:60]}")
+        marks = " ".join(
+            word
+            for word in (
+                "kept" if entry["kept"] else "",
+                entry["judged"],
+                "<- last good" if entry["version"] == answer["last_good"] else "",
+            )
+            if word
+        )
+        click.echo(
+            f"{entry['version']:>20}  {age:8.1f} s ago  {entry['changed']:4} of {entry['proxies']:4} "
+            f"proxies  {marks:24} {entry['cause'][:60]}"
+        )
     show_rollbacks(answer["rollbacks"])
 
 
 def show_rollbacks(rollbacks):
     for r in rollbacks:
-        click.echo(f"rollback {r['number']}: {r['scope']} to {r['version']}: {r['state']} {r['why']}".rstrip()
-                   + f"; {r['settled']} of {r['covered']} proxies hold it, {r['reached']} ordered")
+        click.echo(
+            f"rollback {r['number']}: {r['scope']} to {r['version']}: {r['state']} {r['why']}".rstrip()
+            + f"; {r['settled']} of {r['covered']} proxies hold it, {r['reached']} ordered"
+        )
         for proxy, why in r["failed"].items():
             click.echo(f"    {proxy}: {why}")
 
@@ -49,8 +59,10 @@
     for ident, holder in sorted(answer["holders"].items()):
         back = f" of {holder['rolled_back_to']}" if holder["rolled_back_to"] else ""
         refused = f" REFUSED {holder['refused']}" if holder["refused"] else ""
-        click.echo(f"{ident:20} {'joined' if holder['joined'] else 'away':7} holds "
-                   f"{holder['holds'] or '?':16} meant {holder['meant']:16}{back}{refused}")
+        click.echo(
+            f"{ident:20} {'joined' if holder['joined'] else 'away':7} holds "
+            f"{holder['holds'] or '?':16} meant {holder['meant']:16}{back}{refused}"
+        )
     click.echo(f"{len(answer['behind'])} joined proxies do not hold what they are meant to")
 
 
@@ -64,8 +76,10 @@
     """Orders, and follows the progress until it has ended. Answers whether all that are covered hold it."""
     fields = {"scope": scope, "version": version, "lines": lines}
     made = question(address, verb, **fields)
-    click.echo(f"rollback {made['number']}: {made['scope']} to {made['version']}, within "
-               f"{made['bound_ms'] / 1000:.2f} s if nothing fails")
+    click.echo(
+        f"rollback {made['number']}: {made['scope']} to {made['version']}, within "
+        f"{made['bound_ms'] / 1000:.2f} s if nothing fails"
+    )
     began, last = time.monotonic(), ""
     limit = max(10.0, 20 * made["bound_ms"] / 1000)
     while wait and time.monotonic() - began < limit:
--- a/foxstep/fleet.py
+++ b/foxstep/fleet.py
@@ -52,23 +52,23 @@
         self.ident = ident
         self.zone = self.kind = ""
         self.cell = 0
-        self.state = "gone"            # "open", "draining" or "gone", as listed
-        self.gone_at = None            # since when it is gone
-        self.size = 1.0                # as listed: a number to compare with the others'
-        self.started = 0               # when it last started; 0: long ago
-        self.weight = None             # its part in the shared table, learnt; None: not yet placed
-        self.trust = 1.0               # 1: trusted; 0: withdrawn; between: on trial
+        self.state = "gone"  # "open", "draining" or "gone", as listed
+        self.gone_at = None  # since when it is gone
+        self.size = 1.0  # as listed: a number to compare with the others'
+        self.started = 0  # when it last started; 0: long ago
+        self.weight = None  # its part in the shared table, learnt; None: not yet placed
+        self.trust = 1.0  # 1: trusted; 0: withdrawn; between: on trial
         self.trust_since = 0
-        self.strikes = 0               # how often it was withdrawn since it started
-        self.aborted_part = None       # of its recent tries; None: too few
+        self.strikes = 0  # how often it was withdrawn since it started
+        self.aborted_part = None  # of its recent tries; None: too few
         self.probes_good = self.probes_bad = 0
-        self.probe_out = 0             # when the probe under way was sent; 0: none is
-        self.tries = None              # Ring: tries, aborted, acked, their total latency
-        self.loads = None              # Ring: reports, busy, holding
+        self.probe_out = 0  # when the probe under way was sent; 0: none is
+        self.tries = None  # Ring: tries, aborted, acked, their total latency
+        self.loads = None  # Ring: reports, busy, holding
         self.tried, self.loaded = [0.0] * 4, [0.0] * 3  # recent sums of these two
-        self.slower = 1.0              # the wait of its tries against the fleet's
-        self.holders = {}              # the proxies that hold a line of it, as a set in order
-        self.cover = 0.0               # ops a second that the ordered tables bring it
+        self.slower = 1.0  # the wait of its tries against the fleet's
+        self.holders = {}  # the proxies that hold a line of it, as a set in order
+        self.cover = 0.0  # ops a second that the ordered tables bring it
 
 
 class Proxy:
@@ -77,13 +77,13 @@
     def __init__(self, ident, usage):
         self.ident = ident
         self.zone = ""
-        self.rate = 0.0                # ops a second it usually gets, as told
-        self.total = 0.0               # and as heard
-        self.since = 0                 # when it joined
+        self.rate = 0.0  # ops a second it usually gets, as told
+        self.total = 0.0  # and as heard
+        self.since = 0  # when it joined
         self.joined = self.bound = False
-        self.lines = {}                # Server -> weight ordered
-        self.levels = []               # per op type: (quota, tries) ordered, None: never set
-        self.usage = usage             # per op type a Ring: ops, unanswered, time covered
-        self.ops = []                  # per op type the recent ops a second
-        self.waited = 0                # periods since changes for it were put off
-        self.messages = None           # Ring: messages written
+        self.lines = {}  # Server -> weight ordered
+        self.levels = []  # per op type: (quota, tries) ordered, None: never set
+        self.usage = usage  # per op type a Ring: ops, unanswered, time covered
+        self.ops = []  # per op type the recent ops a second
+        self.waited = 0  # periods since changes for it were put off
+        self.messages = None  # Ring: messages written
--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -13,12 +13,12 @@
 from foxstep.intake.sums import Sums
 
 MINUTE = 60_000_000
-LONGEST = 10 * MINUTE       # a report about a longer stretch says nothing of now
-MOST = 10_000_000           # ops in one report line beyond which it is no count
-PART = 1 / 3                # of what all others tell that one proxy's word may come to,
-MANY = 8                    # where at least so many report
-HELD = 120                  # cycles for which a server that left a proxy's tables may still be told of
-WAITING_MOST = 20_000       # reports that wait, of all proxies; beyond, one that comes is dropped
+LONGEST = 10 * MINUTE  # a report about a longer stretch says nothing of now
+MOST = 10_000_000  # ops in one report line beyond which it is no count
+PART = 1 / 3  # of what all others tell that one proxy's word may come to,
+MANY = 8  # where at least so many report
+HELD = 120  # cycles for which a server that left a proxy's tables may still be told of
+WAITING_MOST = 20_000  # reports that wait, of all proxies; beyond, one that comes is dropped
 
 
 class Talker:
@@ -28,8 +28,8 @@
 
     def __init__(self, zone, now):
         self.zone, self.since = zone, now
-        self.rates = [0.0, 0.0]      # tries and ops a microsecond, by its newest word
-        self.held = {}               # server -> when it was last in its tables
+        self.rates = [0.0, 0.0]  # tries and ops a microsecond, by its newest word
+        self.held = {}  # server -> when it was last in its tables
 
 
 class Intake:
@@ -43,15 +43,15 @@
         longest = max((o["op_timeout"] for o in site["op_types"]), default=0)
         # What was begun under an earlier table is told when it has ended and its report has come.
         self.keep = longest + HELD * self.cycle + site.get("transit_most", 0)
-        self.waiting = {}                  # zone -> (proxy, kind) -> (came at, report, lines, lost), in order
+        self.waiting = {}  # zone -> (proxy, kind) -> (came at, report, lines, lost), in order
         self.zones, self.talkers, self.count = [], {}, 0
-        self.told = [0.0, 0.0]             # tries and ops a microsecond of all, by their newest words,
-        self.telling = [0, 0]              # and how many have told of any
-        self.taken, self.refused = 0, {}   # lines that were; reason -> lines that were not taken
+        self.told = [0.0, 0.0]  # tries and ops a microsecond of all, by their newest words,
+        self.telling = [0, 0]  # and how many have told of any
+        self.taken, self.refused = 0, {}  # lines that were; reason -> lines that were not taken
         # Reports dropped for newer ones, reports bounded, lines that others stood for.
         self.overtaken = self.cut = self.skipped = 0
         self.rounded_at = None
-        self.loaded = {}                   # servers whose own report has come since the last round
+        self.loaded = {}  # servers whose own report has come since the last round
 
     def refuse(self, reason, lines=1):
         self.refused[reason] = self.refused.get(reason, 0) + lines
@@ -220,8 +220,16 @@
 
     def view(self):
         """For an operator: plain values."""
-        return {"asked_ms": self.pace.asked // 1000, "use": round(self.pace.use(), 3),
-                "cost_us": round(self.pace.cost, 1), "step": self.pace.step(),
-                "waiting": sum(map(len, self.waiting.values())), "overtaken": self.overtaken,
-                "cut": self.cut, "skipped_lines": self.skipped, "refused": dict(self.refused),
-                "taken": self.taken, "proxies": len(self.talkers)}
+        return {
+            "asked_ms": self.pace.asked // 1000,
+            "use": round(self.pace.use(), 3),
+            "cost_us": round(self.pace.cost, 1),
+            "step": self.pace.step(),
+            "waiting": sum(map(len, self.waiting.values())),
+            "overtaken": self.overtaken,
+            "cut": self.cut,
+            "skipped_lines": self.skipped,
+            "refused": dict(self.refused),
+            "taken": self.taken,
+            "proxies": len(self.talkers),
+        }
--- a/foxstep/intake/latencies.py
+++ b/foxstep/intake/latencies.py
@@ -6,17 +6,17 @@
 
 from ddsketch import DDSketch
 
-ACCURACY = 0.02           # relative, of any quantile
-NOTED = 4                 # a sketch costs more to add to than a line costs to read
-GENERATION = 60           # cycles of reports
-SLOWEST = 5               # servers that are named to an operator
+ACCURACY = 0.02  # relative, of any quantile
+NOTED = 4  # a sketch costs more to add to than a line costs to read
+GENERATION = 60  # cycles of reports
+SLOWEST = 5  # servers that are named to an operator
 
 
 class Latencies:
     def __init__(self, cycle):
         self.span, self.ends = GENERATION * cycle, None
         self.turns = 0
-        self.now, self.before = {}, {}     # (op type, server) -> sketch
+        self.now, self.before = {}, {}  # (op type, server) -> sketch
 
     def note(self, op_type, server, latency, acked):
         """`acked` ops of which the mean took `latency` microseconds. One in so many counts, for as many."""
@@ -45,11 +45,17 @@
         out = {}
         for op_type, sketch in whole.items():
             # The worse of two generations: a server that has become slow shows at once.
-            slow = {server: max(one.get_quantile_value(0.9) for one in both)
-                    for server, both in by_server[op_type].items()}
+            slow = {
+                server: max(one.get_quantile_value(0.9) for one in both)
+                for server, both in by_server[op_type].items()
+            }
             slowest = sorted(slow.items(), key=lambda one: (-one[1], one[0]))[:SLOWEST]
-            out[op_type] = {"ops": round(sketch.count),
-                            **{f"p{round(100 * q)}_ms": round(sketch.get_quantile_value(q) / 1000, 1)
-                               for q in (0.5, 0.9, 0.99)},
-                            "slowest": [(s, round(took / 1000, 1)) for s, took in slowest]}
+            out[op_type] = {
+                "ops": round(sketch.count),
+                **{
+                    f"p{round(100 * q)}_ms": round(sketch.get_quantile_value(q) / 1000, 1)
+                    for q in (0.5, 0.9, 0.99)
+                },
+                "slowest": [(s, round(took / 1000, 1)) for s, took in slowest],
+            }
         return out
--- a/foxstep/intake/pace.py
+++ b/foxstep/intake/pace.py
@@ -8,21 +8,21 @@
 for twice as long.
 """
 
-LONGEST = 8         # cycles between two reports, at most
-UP_AFTER = 2        # rounds of too much after which longer intervals are asked for,
-DOWN_AFTER = 12     # and of little after which shorter ones are
+LONGEST = 8  # cycles between two reports, at most
+UP_AFTER = 2  # rounds of too much after which longer intervals are asked for,
+DOWN_AFTER = 12  # and of little after which shorter ones are
 MOST_PATIENCE = 16  # times so many, where shorter ones have turned out to be too much
-LATE = 1.25         # cycles between two rounds from which on they come late
-DOWN_BELOW = 0.6    # of the budget, by what shorter intervals would bring
-LEARN = 0.1         # part of a new measure of the cost in the known one
-USUAL_COST = 12.0   # microseconds a line, before any was measured
-MESSAGE = 32        # lines that taking a report off its stream costs, whatever is read of it
-SPREAD = 0.1        # part by which proxies' intervals differ, so that they do not all report at once
+LATE = 1.25  # cycles between two rounds from which on they come late
+DOWN_BELOW = 0.6  # of the budget, by what shorter intervals would bring
+LEARN = 0.1  # part of a new measure of the cost in the known one
+USUAL_COST = 12.0  # microseconds a line, before any was measured
+MESSAGE = 32  # lines that taking a report off its stream costs, whatever is read of it
+SPREAD = 0.1  # part by which proxies' intervals differ, so that they do not all report at once
 
 
-AT_ONCE = 50_000    # microseconds' worth of reports that may be taken off all streams at one time
-BURST = 64          # reports that a stream may bring at one time, as after a pause,
-AHEAD = 4           # and in an interval from then on; beyond, it is left to wait on its way
+AT_ONCE = 50_000  # microseconds' worth of reports that may be taken off all streams at one time
+BURST = 64  # reports that a stream may bring at one time, as after a pause,
+AHEAD = 4  # and in an interval from then on; beyond, it is left to wait on its way
 
 
 class Turnstile:
@@ -45,7 +45,7 @@
     the longer."""
 
     def __init__(self, now):
-        self.left, self.at = 0.0, now     # microseconds of work
+        self.left, self.at = 0.0, now  # microseconds of work
 
     def wait(self, now, part, cost):
         """Microseconds until the next may be taken, one having come that costs so many."""
@@ -63,8 +63,8 @@
         self.over = self.under = 0
         self.patience, self.lowered = 1, False
         self.gate = None
-        self.lines = self.steps = 0.0      # lines that came in this round; what they came to in the last
-        self.settled_at = 0                # until then what comes is still by the former interval
+        self.lines = self.steps = 0.0  # lines that came in this round; what they came to in the last
+        self.settled_at = 0  # until then what comes is still by the former interval
 
     def offered(self, lines):
         """A report of so many lines has come."""
--- a/foxstep/intake/sums.py
+++ b/foxstep/intake/sums.py
@@ -13,11 +13,11 @@
 
 from collections import OrderedDict
 
-ACCOUNT = 2.0       # intervals of time that an account holds at most, and that a new one holds
-OVERDUE = 1.5       # intervals after which the last word stands in for a report that did not come,
-STALE = 4.0         # and after which it no longer does
-SHORTEST = 0.25     # of a cycle: a report that tells of less time counts as of so much
-RING = 32           # rounds ahead that a report can be spread over, at most
+ACCOUNT = 2.0  # intervals of time that an account holds at most, and that a new one holds
+OVERDUE = 1.5  # intervals after which the last word stands in for a report that did not come,
+STALE = 4.0  # and after which it no longer does
+SHORTEST = 0.25  # of a cycle: a report that tells of less time counts as of so much
+RING = 32  # rounds ahead that a report can be spread over, at most
 
 
 class Account:
@@ -27,7 +27,7 @@
 
     def __init__(self, now, asked, least):
         self.credit, self.at, self.least = ACCOUNT * asked, now, least
-        self.came, self.window, self.word = now, asked, None   # its last report
+        self.came, self.window, self.word = now, asked, None  # its last report
 
     def fill(self, now, asked):
         if now > self.at:
@@ -60,9 +60,9 @@
 
     def __init__(self, cycle, share):
         self.cycle, self.share, self.asked = cycle, max(2, share), cycle
-        self.met = OrderedDict()      # (server, zone) -> [tries, aborted, timed, total, load], oldest first
-        self.came = OrderedDict()     # (proxy, op type) -> [ops, unanswered, window], oldest first
-        self.accounts = {}            # (proxy, whether of tries) -> Account, while it is joined or overdue
+        self.met = OrderedDict()  # (server, zone) -> [tries, aborted, timed, total, load], oldest first
+        self.came = OrderedDict()  # (proxy, op type) -> [ops, unanswered, window], oldest first
+        self.accounts = {}  # (proxy, whether of tries) -> Account, while it is joined or overdue
         self.turn, self.later = 0, [[] for _ in range(RING)]  # what later rounds add: (add, its words)
 
     def account(self, now, proxy, of_tries):
@@ -122,7 +122,7 @@
             sums = self.came.get((proxy, op_type))
             if sums is None:
                 if not ops:
-                    continue   # nothing to tell, and nothing waits
+                    continue  # nothing to tell, and nothing waits
                 sums = self.came[proxy, op_type] = [0.0, 0.0, 0.0]
             sums[0] += ops * part
             sums[1] += unanswered * part
@@ -182,7 +182,7 @@
             if line:
                 told += 1
                 yield line
-        for key in list(self.came)[:max(for_came, self.share - told)]:
+        for key in list(self.came)[: max(for_came, self.share - told)]:
             line = self.usage(key)
             if line:
                 yield line
@@ -191,7 +191,7 @@
         tries, aborted, timed, total, load = sums = self.met[key]
         whole = int(tries + 1e-9)
         if not whole:
-            self.met.move_to_end(key)      # a part of one: it waits for more
+            self.met.move_to_end(key)  # a part of one: it waits for more
             if tries < 1e-6:
                 del self.met[key]
             return None
@@ -210,8 +210,11 @@
         whole = int(ops + 1e-9)
         if ops - whole < 1e-6:
             del self.came[key]
-            return ("used", key[0], key[1], whole, min(round(unanswered), whole), round(window)) if (
-                whole or window >= self.cycle) else None
+            return (
+                ("used", key[0], key[1], whole, min(round(unanswered), whole), round(window))
+                if (whole or window >= self.cycle)
+                else None
+            )
         out = min(int(unanswered + 1e-9), whole)
         self.came.move_to_end(key)
         if not whole:
--- a/foxstep/interface.py
+++ b/foxstep/interface.py
@@ -47,8 +47,17 @@
 
     def left(self, now: int, proxy: int) -> None: ...
 
-    def heard(self, now: int, server: str, zone: str, tries: int, aborted: int, latency: int, window: int,
-              load: Load | None) -> None:
+    def heard(
+        self,
+        now: int,
+        server: str,
+        zone: str,
+        tries: int,
+        aborted: int,
+        latency: int,
+        window: int,
+        load: Load | None,
+    ) -> None:
         """What joined proxies of a zone met at a server: `latency` is the mean of the acked ones."""
 
     def used(self, now: int, proxy: int, op_type: str, ops: int, unanswered: int, window: int) -> None: ...
--- a/foxstep/live/book.py
+++ b/foxstep/live/book.py
@@ -12,25 +12,44 @@
 class Message:
     """What one proxy is to be written at one time. Later orders fold into it while it waits."""
 
-    __slots__ = ("proxy", "ordered_at", "first_at", "tables", "lines", "levels", "shut", "emptied", "marks",
-                 "whole", "head", "meant")
+    __slots__ = (
+        "proxy",
+        "ordered_at",
+        "first_at",
+        "tables",
+        "lines",
+        "levels",
+        "shut",
+        "emptied",
+        "marks",
+        "whole",
+        "head",
+        "meant",
+    )
 
     def __init__(self, proxy, ordered_at, head):
         self.proxy, self.ordered_at, self.first_at, self.head = proxy, ordered_at, ordered_at, head
-        self.tables = {}     # op type's place -> table, where bindings change
-        self.lines = {}      # (table, server) -> weight; 0 removes it
-        self.levels = {}     # (table, place) -> (quota, tries)
-        self.shut = {}       # server -> withdrawn or back
-        self.emptied = {}    # tables wiped before these lines, as a set in order
-        self.marks = []      # (number, ordered at)
-        self.whole = False   # holds all that its proxy is to hold
-        self.meant = None    # its proxy's ledger.Table, once it is applied
+        self.tables = {}  # op type's place -> table, where bindings change
+        self.lines = {}  # (table, server) -> weight; 0 removes it
+        self.levels = {}  # (table, place) -> (quota, tries)
+        self.shut = {}  # server -> withdrawn or back
+        self.emptied = {}  # tables wiped before these lines, as a set in order
+        self.marks = []  # (number, ordered at)
+        self.whole = False  # holds all that its proxy is to hold
+        self.meant = None  # its proxy's ledger.Table, once it is applied
 
     @property
     def cost(self):
         """Lines that the channel counts for it."""
-        return (self.head + self.whole + len(self.lines) + len(self.levels) + len(self.shut)
-                + len(self.emptied) + len(self.marks))
+        return (
+            self.head
+            + self.whole
+            + len(self.lines)
+            + len(self.levels)
+            + len(self.shut)
+            + len(self.emptied)
+            + len(self.marks)
+        )
 
     def fold(self, later):
         """Takes a later message of the same proxy in: what is said twice is said once, the newest way."""
@@ -56,7 +75,7 @@
     def __init__(self, places):
         self.tables = [None] * places
         self.lines, self.levels, self.shut = {}, {}, {}
-        self.meant = None    # the ledger.Table that its lines are
+        self.meant = None  # the ledger.Table that its lines are
 
     def apply(self, message):
         if message.whole:
@@ -102,12 +121,12 @@
     def __init__(self, places, head):
         self.places, self.head = places, head
         self.lines, self.levels, self.shut = {}, {}, {}
-        self.holdings = {}       # proxy -> Holding, as written
-        self.bound = {}          # proxy -> table by place, as ordered
-        self.batch = {}          # proxy -> Message of the batch under way
-        self.out = {}            # proxy -> servers that it is ordered to hold withdrawn
-        self.untold = {}         # proxies that were ordered nothing since they joined, as a set in order
-        self.on = {}             # table -> proxies on it, as a set in order
+        self.holdings = {}  # proxy -> Holding, as written
+        self.bound = {}  # proxy -> table by place, as ordered
+        self.batch = {}  # proxy -> Message of the batch under way
+        self.out = {}  # proxy -> servers that it is ordered to hold withdrawn
+        self.untold = {}  # proxies that were ordered nothing since they joined, as a set in order
+        self.on = {}  # table -> proxies on it, as a set in order
 
     def join(self, proxy):
         """A stream is up: it holds none of our tables, whatever it may still hold of others."""
@@ -210,8 +229,9 @@
         message.tables = dict(enumerate(tables))
         for table in dict.fromkeys(t for t in tables if t is not None):
             message.lines.update(((table, s), w) for s, w in self.lines.get(table, {}).items())
-            message.levels.update(((table, k), level) for k, level in self.levels.get(table, {}).items()
-                                  if tables[k] == table)
+            message.levels.update(
+                ((table, k), level) for k, level in self.levels.get(table, {}).items() if tables[k] == table
+            )
             message.shut.update((s, True) for s in self.shut if s in self.lines.get(table, {}))
         self.out[proxy] = dict(message.shut)
         self.untold.pop(proxy, None)
--- a/foxstep/live/channel.py
+++ b/foxstep/live/channel.py
@@ -15,11 +15,11 @@
     def __init__(self, lines_per_s, backlog, messages_most=0, messages_window=10 * SECOND, bounded=True):
         self.lines_per_s, self.backlog = lines_per_s, backlog
         self.messages_most, self.messages_window = messages_most, messages_window
-        self.bounded = bounded        # False only in a drill that shows what this guard is for
+        self.bounded = bounded  # False only in a drill that shows what this guard is for
         self.queue, self.owed = {}, {}  # proxy -> Message, in order
-        self.waiting = 0              # lines in the queue
+        self.waiting = 0  # lines in the queue
         self.sending, self.free_at = 0, 0  # lines on their way out until free_at
-        self.written = {}             # proxy -> deque of times of writing within the window
+        self.written = {}  # proxy -> deque of times of writing within the window
         self.sent_lines = self.sent_messages = self.most_waiting = 0
 
     def drop(self, proxy):
--- a/foxstep/live/host.py
+++ b/foxstep/live/host.py
@@ -61,11 +61,16 @@
         self.names = [o["name"] for o in site["op_types"]]
         self.book = Book(self.places, int(site["head"]))
         pace = site["lines_per_s"] / (8 if "queue" in self.off else 1)
-        self.channel = Channel(pace, site["backlog"], site["messages_most"], site["messages_window"],
-                               bounded="queue" not in self.off)
-        self.listed_lines, self.told_at = {}, {}   # server -> its line as the list told it; since when so
-        self.shaded = {}                           # server -> the line that stands in for it (`shade`)
-        self.joins = {}                            # ident -> Joined
+        self.channel = Channel(
+            pace,
+            site["backlog"],
+            site["messages_most"],
+            site["messages_window"],
+            bounded="queue" not in self.off,
+        )
+        self.listed_lines, self.told_at = {}, {}  # server -> its line as the list told it; since when so
+        self.shaded = {}  # server -> the line that stands in for it (`shade`)
+        self.joins = {}  # ident -> Joined
         self.timers, self.turns = [], count()
         self.room_at = None
         self.stirred = anyio.Event()
@@ -226,12 +231,21 @@
         for message in messages:
             self.channel.offer(now, message)
         if messages:
-            self.log.info("orders", because=self.because, messages=len(messages),
-                           lines=sum(m.cost for m in messages), waiting=self.channel.lines_waiting(now))
+            self.log.info(
+                "orders",
+                because=self.because,
+                messages=len(messages),
+                lines=sum(m.cost for m in messages),
+                waiting=self.channel.lines_waiting(now),
+            )
             for message in messages:
-                self.log.debug("ordered", proxy=message.proxy, whole=message.whole,
-                               lines={server: weight for (_, server), weight in message.lines.items()},
-                               levels=[(self.names[k], *level) for (_, k), level in message.levels.items()])
+                self.log.debug(
+                    "ordered",
+                    proxy=message.proxy,
+                    whole=message.whole,
+                    lines={server: weight for (_, server), weight in message.lines.items()},
+                    levels=[(self.names[k], *level) for (_, k), level in message.levels.items()],
+                )
         self.because = []
         self.orders += pulled
         return pulled
--- a/foxstep/live/reader.py
+++ b/foxstep/live/reader.py
@@ -4,8 +4,8 @@
 
 import anyio
 
-SLICE = 0.002       # seconds of reading before whatever else is due gets its turn
-REST = 0.0005       # and the least that it gets, when more waits
+SLICE = 0.002  # seconds of reading before whatever else is due gets its turn
+REST = 0.0005  # and the least that it gets, when more waits
 
 
 class Reader:
--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -31,18 +31,23 @@
         now = clock()
         self.next_round, self.look_at = now + site["cycle"], now
         self.on_joined = self.on_left = lambda *_: None  # where controllers share the fleet
-        self.lag = 0                               # the longest that the loop was late since last looked at
+        self.lag = 0  # the longest that the loop was late since last looked at
         self.to_answer = HdrHistogram(1, 600 * SECOND, 3)  # from order to acceptance, microseconds
-        self.listed("remembered", [(*line[:6], line[6] and max(line[6] - self.wall_offset, 1))
-                                   for line in self.store.lines])
+        self.listed(
+            "remembered",
+            [(*line[:6], line[6] and max(line[6] - self.wall_offset, 1)) for line in self.store.lines],
+        )
 
     # -- what comes in ---------------------------------------------------------------------------------------
 
     def listed(self, how, lines):
         super().listed(how, lines)
         if how in ("whole", "changes"):
-            kept = [(*line[:6], line[6] and line[6] + self.wall_offset)
-                    for line in self.listed_lines.values() if line[4] != "gone"]
+            kept = [
+                (*line[:6], line[6] and line[6] + self.wall_offset)
+                for line in self.listed_lines.values()
+                if line[4] != "gone"
+            ]
             self.store.list(kept)
 
     def shade(self, shaded, lines):
@@ -149,8 +154,9 @@
             self.desk.ledger.refused(ident, Version.read(version), reason)
             self.desk.evidence.answered(self.clock(), refused=True)
         due = self.repairs.refused(self.clock(), ident)
-        self.log.warning("refused", proxy=ident, reason=reason[:300],
-                         repair_in_ms=(due - self.clock()) // 1000)
+        self.log.warning(
+            "refused", proxy=ident, reason=reason[:300], repair_in_ms=(due - self.clock()) // 1000
+        )
         self.stir(f"refused {ident}")
 
     # -- orders ----------------------------------------------------------------------------------------------
@@ -160,8 +166,16 @@
         standing = self.controller.standing()
         allowed = {server: weight / usual for server, (weight, usual, _) in standing.items() if weight}
         waiting = self.channel.lines_waiting(now) + sum(message.cost for message in ordered)
-        return self.desk.shape(now, ordered, self.book, zones, allowed, "; ".join(self.because),
-                               standing if self.desk.advice.rolls else None, waiting)
+        return self.desk.shape(
+            now,
+            ordered,
+            self.book,
+            zones,
+            allowed,
+            "; ".join(self.because),
+            standing if self.desk.advice.rolls else None,
+            waiting,
+        )
 
     def sent(self, now, message):
         if message.meant:
@@ -178,8 +192,11 @@
             if self.intake.round(self.controller, now, self.desk.evidence):
                 self.stir("reports")
             if asked != self.intake.pace.asked:
-                self.log.info("reports asked for", every_ms=self.intake.pace.asked // 1000,
-                              use=round(self.intake.pace.use(), 2))
+                self.log.info(
+                    "reports asked for",
+                    every_ms=self.intake.pace.asked // 1000,
+                    use=round(self.intake.pace.use(), 2),
+                )
                 self.asked_anew()
         while (ident := self.repairs.next_due(now)) is not None:
             joined = self.joins[ident]
@@ -190,8 +207,12 @@
             self.stir("rollback")
 
     def times(self, now):
-        return [*super().times(now), self.next_round, self.repairs.next_at(),
-                self.look_at if self.desk.busy() else None]
+        return [
+            *super().times(now),
+            self.next_round,
+            self.repairs.next_at(),
+            self.look_at if self.desk.busy() else None,
+        ]
 
     async def run(self):
         """Turns, and reads reports, until cancelled."""
@@ -215,12 +236,19 @@
         """What the decisions hold to be so, and how reports are read: the short form of `view`."""
         module = self.controller
         lag, self.lag = self.lag, 0
-        return {"epoch": self.epoch, "capacity": module.capacity, "note": self.notes,
-                "caps": dict(zip(self.names, module.caps, strict=True)), "lag_ms": lag / 1000,
-                "estimates": {"demand": dict(zip(self.names, getattr(module, "demand", ()), strict=False)),
-                              "acked": getattr(module, "acked", 0.0),
-                              "latency_ms": getattr(module, "latency", 0.0) / 1000},
-                "intake": self.intake.view()}
+        return {
+            "epoch": self.epoch,
+            "capacity": module.capacity,
+            "note": self.notes,
+            "caps": dict(zip(self.names, module.caps, strict=True)),
+            "lag_ms": lag / 1000,
+            "estimates": {
+                "demand": dict(zip(self.names, getattr(module, "demand", ()), strict=False)),
+                "acked": getattr(module, "acked", 0.0),
+                "latency_ms": getattr(module, "latency", 0.0) / 1000,
+            },
+            "intake": self.intake.view(),
+        }
 
     def view(self):
         """Plain values for `foxstep inspect`: what each proxy holds, C, caps, the channel."""
@@ -229,21 +257,35 @@
         for ident, joined in self.joins.items():
             holding = self.book.holdings[ident]
             proxies[ident] = {
-                "zone": joined.zone, "delivered": joined.delivered, "accepted": joined.accepted,
-                "refused": joined.refused, "last_refusal": joined.last_refusal,
-                "waiting": ident in self.channel.queue, "owed": ident in self.channel.owed,
-                "lines": {ADVICE: holding.lines.get(ADVICE, {})} if joined.rate is None else
-                         {name: holding.lines_of(k) for k, name in enumerate(self.names)},
-                "levels": {name: holding.level_of(k) for k, name in enumerate(self.names)}}
+                "zone": joined.zone,
+                "delivered": joined.delivered,
+                "accepted": joined.accepted,
+                "refused": joined.refused,
+                "last_refusal": joined.last_refusal,
+                "waiting": ident in self.channel.queue,
+                "owed": ident in self.channel.owed,
+                "lines": {ADVICE: holding.lines.get(ADVICE, {})}
+                if joined.rate is None
+                else {name: holding.lines_of(k) for k, name in enumerate(self.names)},
+                "levels": {name: holding.level_of(k) for k, name in enumerate(self.names)},
+            }
         store = {"written": self.store.written, "lost": self.store.lost, "failing": self.store.failing}
-        return {**self.estimates(), "store": store, "proxies": proxies,
-                "servers": {ident: line[4] for ident, line in self.listed_lines.items()},
-                "channel": {"waiting": self.channel.lines_waiting(now), "backlog": self.channel.backlog,
-                            "most_waiting": self.channel.most_waiting, "owed": len(self.channel.owed),
-                            "sent_lines": self.channel.sent_lines,
-                            "sent_messages": self.channel.sent_messages},
-                "latencies": self.latencies.view(),
-                "order_to_answer_ms": {
-                    "count": self.to_answer.get_total_count(),
-                    **{f"p{p:g}": self.to_answer.get_value_at_percentile(p) / 1000
-                       for p in (50, 99, 99.9, 100)}}}
+        return {
+            **self.estimates(),
+            "store": store,
+            "proxies": proxies,
+            "servers": {ident: line[4] for ident, line in self.listed_lines.items()},
+            "channel": {
+                "waiting": self.channel.lines_waiting(now),
+                "backlog": self.channel.backlog,
+                "most_waiting": self.channel.most_waiting,
+                "owed": len(self.channel.owed),
+                "sent_lines": self.channel.sent_lines,
+                "sent_messages": self.channel.sent_messages,
+            },
+            "latencies": self.latencies.view(),
+            "order_to_answer_ms": {
+                "count": self.to_answer.get_total_count(),
+                **{f"p{p:g}": self.to_answer.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9, 100)},
+            },
+        }
--- a/foxstep/measure/first_intake.py
+++ b/foxstep/measure/first_intake.py
@@ -61,5 +61,12 @@
                 for locality in stats.upstream_locality_stats:
                     finished = locality.total_successful_requests + locality.total_error_requests
                     if finished:
-                        self.tried(locality.locality.sub_zone, zone, finished, locality.total_error_requests,
-                                   latency_of(locality, finished, window), window, load_of(locality))
+                        self.tried(
+                            locality.locality.sub_zone,
+                            zone,
+                            finished,
+                            locality.total_error_requests,
+                            latency_of(locality, finished, window),
+                            window,
+                            load_of(locality),
+                        )
--- a/foxstep/node/config.py
+++ b/foxstep/node/config.py
@@ -72,8 +72,17 @@
         if not (isfinite(server.weight) and 0 <= server.since_ms < 1e14):
             raise ConfigError(f"{server.name}: weight and since_ms are numbers")
         began = round(server.since_ms * 1000)
-        lines.append((server.name, server.zone, server.type, server.group, STATUS[server.status],
-                      server.weight, began and max(began - wall_offset, 1)))
+        lines.append(
+            (
+                server.name,
+                server.zone,
+                server.type,
+                server.group,
+                STATUS[server.status],
+                server.weight,
+                began and max(began - wall_offset, 1),
+            )
+        )
     return lines
 
 
--- a/foxstep/node/discovery.py
+++ b/foxstep/node/discovery.py
@@ -8,7 +8,7 @@
 from foxstep.node.http import Broken, connect
 
 SECOND = 1_000_000
-CONNECT_TIMEOUT = 1.0        # seconds
+CONNECT_TIMEOUT = 1.0  # seconds
 DECODER = msgspec.json.Decoder(Listed)
 FAILED = (Broken, OSError, TimeoutError, ConfigError, msgspec.DecodeError, UnicodeError, RecursionError)
 
@@ -21,12 +21,12 @@
         self.at, self.index = discovery, None
         self.addresses = {}
         self.wanted, self.watching, self.calling = anyio.Event(), False, None
-        self.whole = False                      # the next call asks for all of the list
-        self.older_since = None                  # since when discovery answers with an older list than ours
+        self.whole = False  # the next call asks for all of the list
+        self.older_since = None  # since when discovery answers with an older list than ours
         # A watch may wait for so long: short beside the time after which its news counts as told, so that
         # one that has gone silent is noticed; no shorter, since each call is work for discovery.
         self.wait = min(max(host.site.get("ask_within", 8 * SECOND) / SECOND / 2, 1.0), 20.0)
-        self.late = 1.2                         # seconds after that wait until the call counts as failed
+        self.late = 1.2  # seconds after that wait until the call counts as failed
         self.renumbering_timeout = host.site.get("ask_within", 8 * SECOND)
         host.watch, host.fetch = self.watch, self.fetch
 
@@ -76,7 +76,7 @@
     def fetch(self):
         self.whole = True
         self.wanted.set()
-        self.restart_call()                     # one that waits would hold it up
+        self.restart_call()  # one that waits would hold it up
 
     def move(self, discovery):
         """Discovery has another address now: the list stands, the call under way is made there anew, and one
@@ -108,7 +108,7 @@
 
     async def follow(self):
         """Calls one after another on one connection; answers why they failed, "" where none is wanted."""
-        caller, asked = None, True              # `asked`: the host waits for this answer
+        caller, asked = None, True  # `asked`: the host waits for this answer
         try:
             while self.watching or self.whole:
                 if reused := caller is not None and caller.open:
@@ -117,8 +117,11 @@
                     with anyio.fail_after(CONNECT_TIMEOUT):
                         caller = await connect(parse_address(self.at, "discovery"))
                 whole = self.whole or self.index is None
-                path = "/v1/servers" if whole else (
-                    f"/v1/servers?after={self.index}&wait_ms={round(self.wait * 1000)}")
+                path = (
+                    "/v1/servers"
+                    if whole
+                    else (f"/v1/servers?after={self.index}&wait_ms={round(self.wait * 1000)}")
+                )
                 try:
                     with anyio.fail_after((0 if whole else self.wait) + self.late + whole):
                         status, body = await caller.get(path, self.at)
--- a/foxstep/node/http.py
+++ b/foxstep/node/http.py
@@ -4,7 +4,7 @@
 
 import httptools
 
-MAX_BODY = 4 << 20        # bytes; what answers more is broken
+MAX_BODY = 4 << 20  # bytes; what answers more is broken
 
 
 class Broken(Exception):
--- a/foxstep/node/messages.py
+++ b/foxstep/node/messages.py
@@ -9,11 +9,11 @@
 import msgspec
 from msgspec import Meta
 
-LONGEST = 1 << 20         # bytes of a message, by the protocol
-PARTS = 64                # parts of one message, by the protocol
-LINES_A_PART = 4000       # so that a part stays far below LONGEST
-MINUTES = 600_000.0       # a stretch longer than this, in milliseconds, tells nothing of now
-MOST = 10_000_000         # ops in one message beyond which it is no count
+LONGEST = 1 << 20  # bytes of a message, by the protocol
+PARTS = 64  # parts of one message, by the protocol
+LINES_A_PART = 4000  # so that a part stays far below LONGEST
+MINUTES = 600_000.0  # a stretch longer than this, in milliseconds, tells nothing of now
+MOST = 10_000_000  # ops in one message beyond which it is no count
 
 Count = Annotated[int, Meta(ge=0, le=MOST)]
 Millis = Annotated[float, Meta(ge=0, le=MINUTES)]
@@ -110,7 +110,7 @@
         lines = [(s, w) for (of, s), w in message.lines.items() if of == table]
         whole = message.whole or table in message.emptied
         for k in range(0, max(len(lines), int(whole)), LINES_A_PART):
-            some = {"lines": lines[k:k + LINES_A_PART]}
+            some = {"lines": lines[k : k + LINES_A_PART]}
             part(places, **({"whole": True} if whole and not k else {}), **some)
     alike = {}
     for place in dict.fromkeys(place for _, place in message.levels):
--- a/foxstep/node/notes.py
+++ b/foxstep/node/notes.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-LONGEST = 256      # bytes: a longer one voids the run
+LONGEST = 256  # bytes: a longer one voids the run
 
 
 class Notes(asyncio.DatagramProtocol):
--- a/foxstep/node/probes.py
+++ b/foxstep/node/probes.py
@@ -7,7 +7,7 @@
 from foxstep.simhost.names import load_of
 
 SECOND = 1_000_000
-WITHIN = 0.5         # seconds until a probe counts as silent
+WITHIN = 0.5  # seconds until a probe counts as silent
 MAX_CONCURRENT = 16  # probes under way; the next ones wait
 
 
@@ -16,7 +16,7 @@
         self.host, self.discovery = host, discovery
         self.group, self.limit = None, anyio.Semaphore(MAX_CONCURRENT)
         self.path = "/load" if host.site.get("reports") else "/healthz"
-        self.waiting = {}                # server with a probe under way -> whether it is to be asked again
+        self.waiting = {}  # server with a probe under way -> whether it is to be asked again
         host.probe = self.probe
 
     def probe(self, server):
--- a/foxstep/node/program.py
+++ b/foxstep/node/program.py
@@ -23,7 +23,7 @@
 from foxstep.simhost.names import PROBED, report_of
 
 RESERVED_DESCRIPTORS = MAX_CONCURRENT + 24  # for probes, discovery, notes, the loop, logs, what is closing
-LOGGED = 20                   # lines of one event in the log, a second
+LOGGED = 20  # lines of one event in the log, a second
 
 
 class Rate:
@@ -50,12 +50,18 @@
 
 def log_to(stream, level):
     structlog.configure(
-        processors=[Rate(), structlog.processors.add_log_level,
-                    structlog.processors.TimeStamper(fmt="%H:%M:%S.%f", utc=True),
-                    structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"],
-                                                        bool_as_flag=False)],
+        processors=[
+            Rate(),
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="%H:%M:%S.%f", utc=True),
+            structlog.processors.LogfmtRenderer(
+                key_order=["timestamp", "level", "event"], bool_as_flag=False
+            ),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
-        logger_factory=structlog.PrintLoggerFactory(stream), cache_logger_on_first_use=True)
+        logger_factory=structlog.PrintLoggerFactory(stream),
+        cache_logger_on_first_use=True,
+    )
 
 
 class Node:
@@ -76,8 +82,10 @@
 
     def peers(self):
         config = self.config
-        return ([configs.parse_address(peer, "a peer") for peer in config.peers],
-                configs.parse_address(config.peers_all, "all peers") if config.peers_all else None)
+        return (
+            [configs.parse_address(peer, "a peer") for peer in config.peers],
+            configs.parse_address(config.peers_all, "all peers") if config.peers_all else None,
+        )
 
     def reload(self):
         """SIGHUP: what is sound takes effect at once, what is not leaves all as it was."""
@@ -115,8 +123,13 @@
                 group.start_soon(self.acceptor.run, listener)
                 gc.collect()
                 gc.freeze()
-                self.log.info("ready", name=self.config.name, listen=self.config.listen, pid=os.getpid(),
-                              limits=str(self.config.limits))
+                self.log.info(
+                    "ready",
+                    name=self.config.name,
+                    listen=self.config.listen,
+                    pid=os.getpid(),
+                    limits=str(self.config.limits),
+                )
 
     async def listen_for_notes(self):
         at = configs.parse_address(self.config.peer_listen, "peer_listen")
--- a/foxstep/node/streams.py
+++ b/foxstep/node/streams.py
@@ -16,15 +16,15 @@
 from foxstep.node.messages import Applied, Collector, Heard, Joined, Ping, Spoilt, Unreadable, Usage
 
 SECOND = 1_000_000
-JOIN_TIMEOUT = 1.2         # seconds in which a stranger has to say who it is
+JOIN_TIMEOUT = 1.2  # seconds in which a stranger has to say who it is
 STRANGER_MAX_BYTES = 16_384  # bytes that a stranger may say before that
-ACCEPT_BATCH = 24          # connections taken before those that stand get their turn to speak
-REST = 0.05                # seconds without accepting where descriptors lack
+ACCEPT_BATCH = 24  # connections taken before those that stand get their turn to speak
+REST = 0.05  # seconds without accepting where descriptors lack
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-HIGH_WATER = 65_536        # bytes that wait for one reader; beyond, what comes is folded together
-MAX_PENDING_MARKS = 64     # marks of one stream that may be unanswered; older ones are forgotten
+HIGH_WATER = 65_536  # bytes that wait for one reader; beyond, what comes is folded together
+MAX_PENDING_MARKS = 64  # marks of one stream that may be unanswered; older ones are forgotten
 READ_BUFFER_SIZE = 65_536
-PART = 1 / 16              # of the memory limit, for half-read messages of all connections together
+PART = 1 / 16  # of the memory limit, for half-read messages of all connections together
 
 
 class Connection(asyncio.BufferedProtocol):
@@ -36,10 +36,10 @@
         self.acceptor, self.host, self.taken = acceptor, acceptor.host, taken  # `taken`: its socket
         self.number = next(acceptor.numbers)  # in the order of dialling
         self.transport, self.rest = None, b""
-        self.ident = self.zone = None     # the proxy's number; the zone of a proxy or a collector
+        self.ident = self.zone = None  # the proxy's number; the zone of a proxy or a collector
         self.timer = self.pending = None  # `pending`: (holding, message) that waits for the reader
         self.paused = self.closed = False
-        self.marks = {}                   # number -> (ordered at, written at), oldest first
+        self.marks = {}  # number -> (ordered at, written at), oldest first
 
     # -- bytes
 
@@ -154,15 +154,23 @@
                 self.pass_over("more errors than tries")
             else:
                 load = message.metrics and self.acceptor.load_of(message.metrics)
-                self.host.heard(message.endpoint, message.locality, message.total, message.errors,
-                                round(message.rtt * 1000), round(message.interval * 1000), load)
+                self.host.heard(
+                    message.endpoint,
+                    message.locality,
+                    message.total,
+                    message.errors,
+                    round(message.rtt * 1000),
+                    round(message.interval * 1000),
+                    load,
+                )
         elif kind is Usage and (self.ident is None or message.node == self.ident):
             if message.node >= site["proxies"] or message.route not in self.host.names:
                 self.pass_over(f"usage of {message.route[:80]} at {message.node}")
             else:
                 # Ops that were let in earlier may have failed now: `errors` may be more than `total`.
-                self.host.used(message.node, message.route, message.total, message.errors,
-                               round(message.interval * 1000))
+                self.host.used(
+                    message.node, message.route, message.total, message.errors, round(message.interval * 1000)
+                )
         elif kind is Applied and message.node == self.ident:
             self.applied(message)
         else:
@@ -176,7 +184,7 @@
         if ordered_at is None or took > self.host.clock() - written_at + SECOND // 4:
             self.pass_over(f"an answer to mark {message.nonce} after {message.latency} ms")
             return
-        while next(iter(self.marks)) != message.nonce:   # an answer holds for all before it
+        while next(iter(self.marks)) != message.nonce:  # an answer holds for all before it
             del self.marks[next(iter(self.marks))]
         del self.marks[message.nonce]
         self.host.took(self.ident, self, message.nonce, written_at - ordered_at + took)
@@ -244,7 +252,7 @@
     def __init__(self, host, sockets, memory, load_of):
         self.host, self.log, self.load_of = host, structlog.get_logger("foxstep.streams"), load_of
         self.buffer = memoryview(bytearray(READ_BUFFER_SIZE))
-        self.connections, self.strangers = {}, {}   # sets in order of coming
+        self.connections, self.strangers = {}, {}  # sets in order of coming
         self.numbers = count()
         self.partial_bytes = 0
         self.limit(sockets, memory)
@@ -277,13 +285,13 @@
             try:
                 for taken in range(ACCEPT_BATCH):
                     if taken and len(self.connections) >= self.most:
-                        break         # nobody goes before it is known that another wants in
+                        break  # nobody goes before it is known that another wants in
                     if not self.make_room():
                         await anyio.sleep(REST)
                         break
                     await self.take(loop, listener.accept()[0])
             except BlockingIOError:
-                pass                  # none is left
+                pass  # none is left
             except OSError as error:  # any other is of one that is gone already
                 if error.errno in NO_DESCRIPTORS:
                     self.log.warning("no descriptors", held=len(self.connections))
@@ -310,7 +318,8 @@
 
 def listen(address):
     """A listening socket at (host, port). Raises OSError."""
-    listener = socket.create_server(address, family=socket.AF_INET6 if ":" in address[0] else socket.AF_INET,
-                                    backlog=1024)
+    listener = socket.create_server(
+        address, family=socket.AF_INET6 if ":" in address[0] else socket.AF_INET, backlog=1024
+    )
     listener.setblocking(False)
     return listener
--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -7,8 +7,10 @@
 
 PREFIX = "/foxstep.Operator/"
 INSPECT, PEERS = PREFIX + "Inspect", PREFIX + "Peers"
-TABLES = {verb: f"{PREFIX}Tables{verb.title()}" for verb in
-          ("list", "show", "diff", "pin", "rollback", "unpin", "put", "progress")}
+TABLES = {
+    verb: f"{PREFIX}Tables{verb.title()}"
+    for verb in ("list", "show", "diff", "pin", "rollback", "unpin", "put", "progress")
+}
 MOST = 4 * 1024 * 1024
 
 
@@ -32,6 +34,7 @@
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             except (KeyError, TypeError) as error:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, f"{error} is missing or wrong")
+
         return grpc.unary_unary_rpc_method_handler(handle)
 
     def inspect(self, question):
@@ -61,9 +64,12 @@
 
     def tables_list(self, question):
         desk = self.host.desk
-        return {"versions": desk.history(min(int(question.get("most", 20)), 1000)),
-                "last_good": str(desk.evidence.last_good(desk.ledger.entries) or ""),
-                "rollbacks": desk.progress(self.zones()), "now": self.host.clock()}
+        return {
+            "versions": desk.history(min(int(question.get("most", 20)), 1000)),
+            "last_good": str(desk.evidence.last_good(desk.ledger.entries) or ""),
+            "rollbacks": desk.progress(self.zones()),
+            "now": self.host.clock(),
+        }
 
     def tables_show(self, question):
         desk = self.host.desk
@@ -75,30 +81,46 @@
         table = desk.ledger.table(proxy, version)
         if table is None:
             raise Unknown(f"no table of {proxy!r}" + (f" in {version}" if version else ""))
-        return {"proxy": proxy, "holder": holders.get(proxy), "version": str(table.version),
-                "hash": table.hash, "lines": dict(table.lines)}
+        return {
+            "proxy": proxy,
+            "holder": holders.get(proxy),
+            "version": str(table.version),
+            "hash": table.hash,
+            "lines": dict(table.lines),
+        }
 
     def tables_diff(self, question):
         return {"changes": self.host.desk.difference(question["old"], question["new"])}
 
     def tables_rollback(self, question, at_once=False):
-        made, bound = self.host.desk.roll_back(self.host.clock(), question["scope"], question["version"],
-                                               self.zones(), at_once)
+        made, bound = self.host.desk.roll_back(
+            self.host.clock(), question["scope"], question["version"], self.zones(), at_once
+        )
         return self.ordered(made, bound)
 
     def tables_pin(self, question):
         return self.tables_rollback(question, at_once=True)
 
     def tables_put(self, question):
-        return self.ordered(*self.host.desk.put(self.host.clock(), question["scope"], question["lines"],
-                                                self.zones()))
+        return self.ordered(
+            *self.host.desk.put(self.host.clock(), question["scope"], question["lines"], self.zones())
+        )
 
     def ordered(self, made, bound):
         self.host.stir(f"operator's order {made.number}")
-        self.host.log.warning("rollback ordered", number=made.number, scope=made.scope,
-                              version=str(made.version), bound_ms=bound // 1000)
-        return {"number": made.number, "scope": made.scope, "version": str(made.version),
-                "bound_ms": bound / 1000}
+        self.host.log.warning(
+            "rollback ordered",
+            number=made.number,
+            scope=made.scope,
+            version=str(made.version),
+            bound_ms=bound // 1000,
+        )
+        return {
+            "number": made.number,
+            "scope": made.scope,
+            "version": str(made.version),
+            "bound_ms": bound / 1000,
+        }
 
     def tables_unpin(self, question):
         ended = self.host.desk.release(question["scope"], self.zones())
@@ -109,8 +131,11 @@
 
     def tables_progress(self, question):
         desk = self.host.desk
-        return {"rollbacks": desk.progress(self.zones()), "behind": len(desk.ledger.behind()),
-                "now": self.host.clock()}
+        return {
+            "rollbacks": desk.progress(self.zones()),
+            "behind": len(desk.ledger.behind()),
+            "now": self.host.clock(),
+        }
 
 
 async def ask(address, method, question=None, within=5.0):
--- a/foxstep/peers/bounds.py
+++ b/foxstep/peers/bounds.py
@@ -5,7 +5,7 @@
 from foxstep.peers.membership import MOST_HEALTH
 from foxstep.peers.place import SETTLED, STOOD
 
-RARE = 1e-3       # what a bound may be passed by for want of luck
+RARE = 1e-3  # what a bound may be passed by for want of luck
 
 
 def rounds_within(lost):
--- a/foxstep/peers/learning.py
+++ b/foxstep/peers/learning.py
@@ -11,8 +11,8 @@
 from foxstep.tables.version import Version, epoch_after
 
 SECOND = 1_000_000
-UNTOLD = 0.01       # ops a second of a proxy that tells none: where none does, all count alike
-KEPT_EVERY = 10     # cycles of reports after which what was learnt is written to the store anew
+UNTOLD = 0.01  # ops a second of a proxy that tells none: where none does, all count alike
+KEPT_EVERY = 10  # cycles of reports after which what was learnt is written to the store anew
 
 
 class Learning:
@@ -45,8 +45,10 @@
 
     def keep(self, now):
         self.keep_at = now + KEPT_EVERY * self.host.site["cycle"]
-        lanes = [{key: fact.value for key, fact in self.replica.of[self.me, n].live().items()}
-                 for n in range(LANES)]
+        lanes = [
+            {key: fact.value for key, fact in self.replica.of[self.me, n].live().items()}
+            for n in range(LANES)
+        ]
         if lanes != self.kept and any(lanes):
             self.kept = lanes
             self.host.store.keep_facts(msgspec.msgpack.encode((self.host.wall(), lanes)))
@@ -74,9 +76,16 @@
         """Tells what is known here, and takes in what has been heard since."""
         host, now = self.host, self.host.clock()
         holders = {p: str(h.held) for p in host.joins if (h := host.desk.ledger.holder(p)).held}
-        self.teller.tell(now, host.listed_lines, host.controller.standing(), host.controller.weighed(now),
-                         host.controller.capacity, sum(self.rates().values()) + self.hearsay.rates_gone(),
-                         self.zones(), holders)
+        self.teller.tell(
+            now,
+            host.listed_lines,
+            host.controller.standing(),
+            host.controller.weighed(now),
+            host.controller.capacity,
+            sum(self.rates().values()) + self.hearsay.rates_gone(),
+            self.zones(),
+            holders,
+        )
         self.rank()
         news = dict.fromkeys(key for _, lane, key in self.replica.changed if lane == SERVERS)
         news.update(dict.fromkeys(s for s in host.listed_lines if s not in self.listed))
@@ -114,5 +123,8 @@
         """What is held of a controller's, for an operator."""
         live = [len(self.replica.lane(origin, number).live()) for number in (SERVERS, PROXIES)]
         lag = self.replica.lag(now, origin)
-        return {"servers": live[0], "proxies": live[1],
-                "confirmed_ms_ago": None if lag is None else lag // 1000}
+        return {
+            "servers": live[0],
+            "proxies": live[1],
+            "confirmed_ms_ago": None if lag is None else lag // 1000,
+        }
--- a/foxstep/peers/learnt.py
+++ b/foxstep/peers/learnt.py
@@ -12,16 +12,16 @@
 import re
 
 VERSION = re.compile(r"\d{1,18}\.\d{1,18}(@\d{1,18}\.\d{1,18})?")
-SERVERS, PROXIES, HOLDERS = 0, 1, 2   # the lanes
+SERVERS, PROXIES, HOLDERS = 0, 1, 2  # the lanes
 LANES = 3
 CAPACITY = "C"
-TELL_OFF_BY = 0.1                 # a weight or C that moved by less is not told anew
-HALF_LIFE = 60                    # cycles of reports after which a word of weights counts half,
-LIFE = 600                        # and after which it counts nothing
-CAPACITY_LIFE = 60                # the same for C, which follows the load
-HIDDEN_MOST = 0.5                 # part of the warm servers that others' word of drains may hide, at most
+TELL_OFF_BY = 0.1  # a weight or C that moved by less is not told anew
+HALF_LIFE = 60  # cycles of reports after which a word of weights counts half,
+LIFE = 600  # and after which it counts nothing
+CAPACITY_LIFE = 60  # the same for C, which follows the load
+HIDDEN_MOST = 0.5  # part of the warm servers that others' word of drains may hide, at most
 GONE_MOST = 4096
-SAME_START = 2_000_000            # starts as two lists tell them differ by clocks and by ways
+SAME_START = 2_000_000  # starts as two lists tell them differ by clocks and by ways
 
 
 def sound(lane, key, value):
@@ -39,8 +39,12 @@
     if len(value) != 4:
         return False
     weight, withdrawn, state, age = value
-    return ((weight is None or number(weight)) and isinstance(withdrawn, bool)
-            and state in ("open", "draining", "gone") and (age is None or isinstance(age, int) and age >= 0))
+    return (
+        (weight is None or number(weight))
+        and isinstance(withdrawn, bool)
+        and state in ("open", "draining", "gone")
+        and (age is None or isinstance(age, int) and age >= 0)
+    )
 
 
 def number(value):
@@ -103,9 +107,9 @@
     def __init__(self, replica, site):
         self.replica, self.cycle, self.within = replica, site["cycle"], site["ask_within"]
         self.ramp = site["ramp"]
-        self.shaded = {}               # server -> the line that stands in for its own list's
-        self.bringing = {}             # proxy -> C that it came with, not granted yet
-        self.gone = {}                 # proxy -> (since, the C that it took along, its ops a second)
+        self.shaded = {}  # server -> the line that stands in for its own list's
+        self.bringing = {}  # proxy -> C that it came with, not granted yet
+        self.gone = {}  # proxy -> (since, the C that it took along, its ops a second)
 
     def unknown_age(self):
         """What a word counts as whose age cannot be told: half."""
@@ -188,16 +192,27 @@
         alone, and once."""
         self.gone.pop(proxy, None)
         self.bringing.pop(proxy, None)
-        served = [(lane.facts[proxy].at, origin) for origin, lane in self.replica.told(PROXIES)
-                  if proxy in lane.facts]
+        served = [
+            (lane.facts[proxy].at, origin)
+            for origin, lane in self.replica.told(PROXIES)
+            if proxy in lane.facts
+        ]
         for at, origin in sorted(served, reverse=True)[:1]:
             left = self.replica.lane(origin, PROXIES).facts[proxy].value is None
             known = self.replica.lane(origin, SERVERS)
             told = known.facts.get(CAPACITY)
-            age = None if known.confirmed is None else now - (min(at, known.confirmed) if left else
-                                                              known.confirmed)
-            if age is not None and told and told.value and told.value[1] > 0 and self.faith(
-                    age, CAPACITY_LIFE):
+            age = (
+                None
+                if known.confirmed is None
+                else now - (min(at, known.confirmed) if left else known.confirmed)
+            )
+            if (
+                age is not None
+                and told
+                and told.value
+                and told.value[1] > 0
+                and self.faith(age, CAPACITY_LIFE)
+            ):
                 capacity, rates = told.value
                 self.bringing[proxy] = capacity * min(rate / rates, 1.0)
 
--- a/foxstep/peers/membership.py
+++ b/foxstep/peers/membership.py
@@ -16,13 +16,13 @@
 
 ALIVE, SUSPECTED, GONE = "alive", "suspected", "gone"
 RANK = {ALIVE: 0, SUSPECTED: 1, GONE: 2}
-ASKED = 3                  # others that are asked to ping one that does not answer
-SUSPICION = 5              # periods that a suspicion lasts, times log2 of all + 1, when nobody confirms it
-LEAST_SUSPICION = 2        # the same when all who could have confirmed it
-MOST_HEALTH = 4            # an unwell one's patience: so many times, at most, plus one
-TOLD = 3                   # times log2 of all + 1 that a piece of news rides along
-NEWS_MOST = 12             # pieces in one note
-QUEUE_MOST = 256           # notes that wait to be sent; beyond, the oldest is lost as on any bad way
+ASKED = 3  # others that are asked to ping one that does not answer
+SUSPICION = 5  # periods that a suspicion lasts, times log2 of all + 1, when nobody confirms it
+LEAST_SUSPICION = 2  # the same when all who could have confirmed it
+MOST_HEALTH = 4  # an unwell one's patience: so many times, at most, plus one
+TOLD = 3  # times log2 of all + 1 that a piece of news rides along
+NEWS_MOST = 12  # pieces in one note
+QUEUE_MOST = 256  # notes that wait to be sent; beyond, the oldest is lost as on any bad way
 
 
 class Member:
@@ -30,8 +30,8 @@
 
     def __init__(self, ident, address):
         self.ident, self.address = ident, address
-        self.state, self.incarnation, self.since = GONE, 0, 0    # gone until it was heard
-        self.up_since = 0                                        # when it was last no longer gone
+        self.state, self.incarnation, self.since = GONE, 0, 0  # gone until it was heard
+        self.up_since = 0  # when it was last no longer gone
         self.heard_at, self.accusers, self.told, self.load = None, {}, 1 << 30, 0
 
 
@@ -45,7 +45,7 @@
         self.notes = deque(maxlen=QUEUE_MOST)
         self.counter, self.round = 0, []
         self.probing, self.probe_number, self.asked, self.next_at = None, 0, True, now
-        self.answered, self.for_others = True, {}     # a ping for another -> (who asked, its number)
+        self.answered, self.for_others = True, {}  # a ping for another -> (who asked, its number)
         self.health, self.last_turn, self.changes = 0, now, deque(maxlen=64)
         self.left = False
 
@@ -65,7 +65,7 @@
         if verb == "ping":
             self.send("ack", sender, number)
             if member.state != ALIVE:
-                member.told = 0               # it learns what is held of it, and can refute
+                member.told = 0  # it learns what is held of it, and can refute
         elif verb == "ask" and target in self.members:
             self.counter += 1
             self.for_others[self.counter] = (sender, number)
@@ -96,7 +96,7 @@
         if state == SUSPECTED and member.state == SUSPECTED and incarnation == member.incarnation:
             if by not in member.accusers:
                 member.accusers[by] = None
-                member.told = 0               # each who confirms it is worth telling
+                member.told = 0  # each who confirms it is worth telling
 
     def become(self, now, member, state, incarnation):
         if state != member.state:
@@ -201,9 +201,11 @@
         news, member = [], self.members.get(to)
         if member is not None and member.state != ALIVE and member.incarnation:
             news.append((to, member.state, member.incarnation, self.me))
-        fresh = sorted((m for m in self.members.values() if m.told < times and m.ident != to),
-                       key=lambda m: (m.told, m.ident))
-        for other in fresh[:NEWS_MOST - 1]:
+        fresh = sorted(
+            (m for m in self.members.values() if m.told < times and m.ident != to),
+            key=lambda m: (m.told, m.ident),
+        )
+        for other in fresh[: NEWS_MOST - 1]:
             other.told += 1
             accusers = list(other.accusers)
             by = accusers[other.told % len(accusers)] if accusers else self.me
@@ -213,7 +215,13 @@
     # -- what an operator sees
 
     def view(self, now):
-        return {str(i): {
-            "address": m.address, "state": m.state, "incarnation": m.incarnation, "proxies": m.load,
-            "heard_ms_ago": None if m.heard_at is None else (now - m.heard_at) // 1000}
-            for i, m in self.members.items()}
+        return {
+            str(i): {
+                "address": m.address,
+                "state": m.state,
+                "incarnation": m.incarnation,
+                "proxies": m.load,
+                "heard_ms_ago": None if m.heard_at is None else (now - m.heard_at) // 1000,
+            }
+            for i, m in self.members.items()
+        }
