--- a/foxstep/peers/notes.py
+++ b/foxstep/peers/notes.py
@@ -7,10 +7,10 @@
 import msgspec
 import structlog
 
-MOST = 4_096          # bytes of a note
-ROOM = 1_200          # of which facts take about so many: what one packet carries anywhere
+MOST = 4_096  # bytes of a note
+ROOM = 1_200  # of which facts take about so many: what one packet carries anywhere
 SECOND = 1_000_000
-CHECK = 4             # a note begins with a checksum of the rest: what is torn or not ours is dropped
+CHECK = 4  # a note begins with a checksum of the rest: what is torn or not ours is dropped
 
 
 class Facts(msgspec.Struct, array_like=True, tag="facts"):
@@ -36,8 +36,17 @@
 class Notes:
     """Sends and hears one controller's notes. `lose`: the part of them that a drill has lost on the way."""
 
-    def __init__(self, site_name, membership, socket, clock, load, lose=0.0, replica=None,
-                 sound=lambda lane, key, value: True):
+    def __init__(
+        self,
+        site_name,
+        membership,
+        socket,
+        clock,
+        load,
+        lose=0.0,
+        replica=None,
+        sound=lambda lane, key, value: True,
+    ):
         self.replica, self.sound, self.facts_bytes, self.turn, self.odd = replica, sound, 0, 0, 0
         self.site_name, self.membership, self.socket, self.clock = site_name, membership, socket, clock
         self.load, self.lose, self.heard, self.sent, self.bytes = load, lose, 0, 0, 0
@@ -60,8 +69,16 @@
                 await self.take_facts(note)
             else:
                 self.heard += 1
-                self.membership.heard(self.clock(), note.sender, note.verb, note.number, note.news,
-                                      note.target, note.incarnation, note.load)
+                self.membership.heard(
+                    self.clock(),
+                    note.sender,
+                    note.verb,
+                    note.number,
+                    note.news,
+                    note.target,
+                    note.incarnation,
+                    note.load,
+                )
                 await self.send_due()
 
     async def send_due(self):
@@ -70,8 +87,16 @@
                 await self.send(*note)
 
     async def send(self, verb, to, number, target, news):
-        note = Note(self.site_name, self.membership.me, self.membership.incarnation, self.load(), verb,
-                    number, target, news)
+        note = Note(
+            self.site_name,
+            self.membership.me,
+            self.membership.incarnation,
+            self.load(),
+            verb,
+            number,
+            target,
+            news,
+        )
         self.bytes += await self.write(to, note)
 
     async def write(self, to, note):
--- a/foxstep/peers/place.py
+++ b/foxstep/peers/place.py
@@ -12,10 +12,10 @@
 from hashlib import blake2b
 from math import ceil
 
-SLACK = 1.25       # a controller is given no more than so many times its even part of the proxies
-SETTLED = 10       # periods for which a home has to have been alive before proxies are sent there,
-STOOD = 4          # for which it has to have been a proxy's home, and within which it has to have been heard
-CHANNEL = 0.25     # part of the channel's speed that whole tables of those who come home may take
+SLACK = 1.25  # a controller is given no more than so many times its even part of the proxies
+SETTLED = 10  # periods for which a home has to have been alive before proxies are sent there,
+STOOD = 4  # for which it has to have been a proxy's home, and within which it has to have been heard
+CHANNEL = 0.25  # part of the channel's speed that whole tables of those who come home may take
 
 
 def score(controller, proxy):
--- a/foxstep/peers/replica.py
+++ b/foxstep/peers/replica.py
@@ -14,11 +14,11 @@
 
 import msgspec
 
-FORMER = -1           # the number under which this one's former life is held, for itself alone
-DEAD_MOST = 64        # removed facts that are kept to be told, at least; else as many as there are live ones
-WAITING_MOST = 64     # answers that wait for the budget; beyond, the oldest is dropped: its asker asks again
-FACTS_MOST = 50_000   # of one controller's lane: nobody makes another hold more
-BURST = 1.0           # seconds of the budget that may go out at one time
+FORMER = -1  # the number under which this one's former life is held, for itself alone
+DEAD_MOST = 64  # removed facts that are kept to be told, at least; else as many as there are live ones
+WAITING_MOST = 64  # answers that wait for the budget; beyond, the oldest is dropped: its asker asks again
+FACTS_MOST = 50_000  # of one controller's lane: nobody makes another hold more
+BURST = 1.0  # seconds of the budget that may go out at one time
 
 
 class Fact:
@@ -40,7 +40,7 @@
     def __init__(self, epoch=0):
         self.epoch, self.top, self.floor, self.sum, self.dead = epoch, 0, 0, 0, 0
         self.facts, self.confirmed = {}, None  # when its controller said last that all of it stands
-        self.mixed = False                     # facts above the top came early: they are out of order
+        self.mixed = False  # facts above the top came early: they are out of order
 
     def take(self, key, fact):
         known = self.facts.pop(key, None)
@@ -79,8 +79,8 @@
         self.me, self.lanes, self.per_s = me, lanes, per_s
         self.of = {(me, lane): Lane(epoch) for lane in range(lanes)}
         self.budget, self.filled_at = per_s * BURST, now
-        self.waiting, self.changed = [], {}   # (to, digest) to be answered; (controller, lane, key) in order
-        self.outranked = 0                    # an epoch of mine that others have heard and I never said
+        self.waiting, self.changed = [], {}  # (to, digest) to be answered; (controller, lane, key) in order
+        self.outranked = 0  # an epoch of mine that others have heard and I never said
 
     def lane(self, origin, number):
         return self.of.setdefault((origin, number), Lane(-1))
@@ -117,9 +117,19 @@
 
     def digest(self, now):
         """[(controller, lane, epoch, top, floor, sum, microseconds since it was confirmed or None)]"""
-        return [(origin, number, lane.epoch, lane.top, lane.floor, lane.sum,
-                 None if lane.confirmed is None else max(0, now - lane.confirmed))
-                for (origin, number), lane in self.of.items() if origin != FORMER]
+        return [
+            (
+                origin,
+                number,
+                lane.epoch,
+                lane.top,
+                lane.floor,
+                lane.sum,
+                None if lane.confirmed is None else max(0, now - lane.confirmed),
+            )
+            for (origin, number), lane in self.of.items()
+            if origin != FORMER
+        ]
 
     def asked(self, now, sender, digest):
         """Another's digest came: it is to be answered with what it lacks."""
@@ -164,8 +174,11 @@
                 continue
             # One whose copy ends below what is forgotten here may hold facts that were removed since, unless
             # it began after that. Of copies that differ only their controller's own counts.
-            anew = lane.epoch > epoch or max(top, floor) < lane.floor or (
-                top == lane.top and total != lane.sum and origin == self.me)
+            anew = (
+                lane.epoch > epoch
+                or max(top, floor) < lane.floor
+                or (top == lane.top and total != lane.sum and origin == self.me)
+            )
             after = 0 if anew else top
             if anew or lane.top > after:
                 behind.append((number, origin != self.me, after - lane.top, origin, after, anew, lane))
@@ -233,8 +246,9 @@
 
     def told(self, number):
         """(controller, lane) of all others in a lane, in order of the controllers' numbers."""
-        return [(origin, self.of[origin, n]) for origin, n in sorted(self.of)
-                if n == number and origin != self.me]
+        return [
+            (origin, self.of[origin, n]) for origin, n in sorted(self.of) if n == number and origin != self.me
+        ]
 
     def lag(self, now, origin):
         """Microseconds since all that is held of a controller was confirmed, or None."""
--- a/foxstep/peers/sharing.py
+++ b/foxstep/peers/sharing.py
@@ -9,7 +9,7 @@
 from foxstep.peers.place import Homing
 
 SECOND = 1_000_000
-PERIODS = 8     # periods of pings in the grace: one that dies is found out well before a drain is missed
+PERIODS = 8  # periods of pings in the grace: one that dies is found out well before a drain is missed
 
 
 class Sharing:
@@ -18,14 +18,23 @@
     def __init__(self, host, learning, site_name, me, peers, socket, lose=0.0):
         self.host, self.learning, self.peers = host, learning, peers
         period = max(1, host.site["grace"] // PERIODS)
-        self.membership = Membership(me, {i: told[0] for i, told in peers.items()}, host.epoch, host.clock(),
-                                     period, host.seed)
+        self.membership = Membership(
+            me, {i: told[0] for i, told in peers.items()}, host.epoch, host.clock(), period, host.seed
+        )
         zones = {me: host.site["zone"], **{i: told[2] for i, told in peers.items()}}
         cost = host.site["head"] + 1 + host.site["standing"]
         self.homing = Homing(me, zones, period, cost, host.site["lines_per_s"])
         learning.period = period
-        self.notes = Notes(site_name, self.membership, socket, host.clock, lambda: len(host.joins), lose,
-                           learning.replica, sound)
+        self.notes = Notes(
+            site_name,
+            self.membership,
+            socket,
+            host.clock,
+            lambda: len(host.joins),
+            lose,
+            learning.replica,
+            sound,
+        )
 
     # -- proxies
 
@@ -53,17 +62,29 @@
     def view(self):
         now = self.host.clock()
         return {
-            "me": self.membership.me, "incarnation": self.membership.incarnation, "epoch": self.host.epoch,
-            "alive": self.membership.alive(), "draining": self.homing.leaving,
+            "me": self.membership.me,
+            "incarnation": self.membership.incarnation,
+            "epoch": self.host.epoch,
+            "alive": self.membership.alive(),
+            "draining": self.homing.leaving,
             "proxies": {ident: joined.zone for ident, joined in self.host.joins.items()},
-            "notes": {"sent": self.notes.sent, "heard": self.notes.heard, "bytes": self.notes.bytes,
-                      "facts_bytes": self.notes.facts_bytes, "odd": self.notes.odd},
+            "notes": {
+                "sent": self.notes.sent,
+                "heard": self.notes.heard,
+                "bytes": self.notes.bytes,
+                "facts_bytes": self.notes.facts_bytes,
+                "odd": self.notes.odd,
+            },
             "peers": self.membership.view(now),
-            "away": {p: h for p, h in self.homing.homes.items()
-                     if p in self.host.joins and h != self.membership.me},
+            "away": {
+                p: h for p, h in self.homing.homes.items() if p in self.host.joins and h != self.membership.me
+            },
             "facts": {str(i): self.learning.facts_of(now, i) for i in self.peers},
-            "heals_within_ms": heal_bound(self.membership.period, len(self.peers), self.homing.spacing,
-                                          len(self.host.joins)) // 1000}
+            "heals_within_ms": heal_bound(
+                self.membership.period, len(self.peers), self.homing.spacing, len(self.host.joins)
+            )
+            // 1000,
+        }
 
     async def run(self):
         async with anyio.create_task_group() as group:
--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -24,13 +24,19 @@
 LEVELS = PREFIX + "endpoint.v3.ClusterLoadAssignment"  # of an assignment only its drops are read
 ROUTES, LINE = PREFIX + "route.v3.RouteConfiguration", PREFIX + "endpoint.v3.LbEndpoint"
 FEATURES = ["foxstep.quotas", "foxstep.tables", "foxstep.home"]
-HOME = "foxstep-home"      # trailing metadata of a stream's end: the controller to dial next
+HOME = "foxstep-home"  # trailing metadata of a stream's end: the controller to dial next
 MICRO = 1_000_000
-BROKEN = (grpc.RpcError, grpc.aio.UsageError, grpc.aio.InternalError, asyncio.InvalidStateError, EOFError,
-          TimeoutError)
+BROKEN = (
+    grpc.RpcError,
+    grpc.aio.UsageError,
+    grpc.aio.InternalError,
+    asyncio.InvalidStateError,
+    EOFError,
+    TimeoutError,
+)
 CONNECT_WITHIN = 3.0
-USAGE_EVERY = 0.5          # seconds between reports until the controller has asked for an interval,
-LONGEST_INTERVAL = 60.0    # which is no longer than this
+USAGE_EVERY = 0.5  # seconds between reports until the controller has asked for an interval,
+LONGEST_INTERVAL = 60.0  # which is no longer than this
 DENY_ALL = 1
 
 
@@ -59,8 +65,22 @@
     for each line that it is sent. `notice`: milliseconds, of which a controller that stands still is noticed
     in three. `forwarder` gets what its tables, ways and levels say."""
 
-    def __init__(self, ident, zone, rate, site_name, op_types, controllers, table, forwarder, clock, seed=0,
-                 redial=(0.2, 1.0), stall=0.0, notice=1_000):
+    def __init__(
+        self,
+        ident,
+        zone,
+        rate,
+        site_name,
+        op_types,
+        controllers,
+        table,
+        forwarder,
+        clock,
+        seed=0,
+        redial=(0.2, 1.0),
+        stall=0.0,
+        notice=1_000,
+    ):
         self.ident, self.zone, self.rate, self.site_name = ident, zone, rate, site_name
         self.op_types, self.controllers, self.table, self.forwarder = op_types, controllers, table, forwarder
         self.clock, self.seed, self.redial, self.stall = clock, seed, redial, stall
@@ -84,11 +104,19 @@
     def channel(self, address):
         """One a controller, kept: a dial is then three streams, not a connection and all that it costs."""
         if address not in self.channels:
-            self.channels[address] = grpc.aio.insecure_channel(address, options=[
-                ("grpc.keepalive_time_ms", self.notice), ("grpc.keepalive_timeout_ms", 2 * self.notice),
-                ("grpc.http2.ping_timeout_ms", 2 * self.notice), ("grpc.http2.max_pings_without_data", 0),
-                ("grpc.use_local_subchannel_pool", 1), ("grpc.enable_retries", 0),
-                ("grpc.initial_reconnect_backoff_ms", 200), ("grpc.max_reconnect_backoff_ms", 1_000)])
+            self.channels[address] = grpc.aio.insecure_channel(
+                address,
+                options=[
+                    ("grpc.keepalive_time_ms", self.notice),
+                    ("grpc.keepalive_timeout_ms", 2 * self.notice),
+                    ("grpc.http2.ping_timeout_ms", 2 * self.notice),
+                    ("grpc.http2.max_pings_without_data", 0),
+                    ("grpc.use_local_subchannel_pool", 1),
+                    ("grpc.enable_retries", 0),
+                    ("grpc.initial_reconnect_backoff_ms", 200),
+                    ("grpc.max_reconnect_backoff_ms", 1_000),
+                ],
+            )
         return self.channels[address]
 
     async def run(self):
@@ -156,18 +184,28 @@
     async def follow(self, channel):
         call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel).DeltaAggregatedResources()
         held = {self.pattern[:-1] + server: str(weight) for server, weight in self.table.held().items()}
-        await call.write(discovery_pb2.DeltaDiscoveryRequest(
-            node=self.node(), type_url=LINE, resource_names_subscribe=[self.pattern],
-            initial_resource_versions=held))
-        await call.write(discovery_pb2.DeltaDiscoveryRequest(
-            type_url=ROUTES, resource_names_subscribe=[self.site_name]))
-        await call.write(discovery_pb2.DeltaDiscoveryRequest(
-            type_url=LEVELS, resource_names_subscribe=[o["name"] for o in self.op_types]))
+        await call.write(
+            discovery_pb2.DeltaDiscoveryRequest(
+                node=self.node(),
+                type_url=LINE,
+                resource_names_subscribe=[self.pattern],
+                initial_resource_versions=held,
+            )
+        )
+        await call.write(
+            discovery_pb2.DeltaDiscoveryRequest(type_url=ROUTES, resource_names_subscribe=[self.site_name])
+        )
+        await call.write(
+            discovery_pb2.DeltaDiscoveryRequest(
+                type_url=LEVELS, resource_names_subscribe=[o["name"] for o in self.op_types]
+            )
+        )
         while (response := await call.read()) is not grpc.aio.EOF:
             self.joined = True
             self.taken.set()
-            answer = discovery_pb2.DeltaDiscoveryRequest(type_url=response.type_url,
-                                                         response_nonce=response.nonce)
+            answer = discovery_pb2.DeltaDiscoveryRequest(
+                type_url=response.type_url, response_nonce=response.nonce
+            )
             over = False
             try:
                 lines = self.take(response)
@@ -271,15 +309,19 @@
                     stats = clusters[op_type] = request.cluster_stats.add(cluster_name=op_type)
                     stats.load_report_interval.FromNanoseconds(round((now - began) * 1e9))
                 met = stats.upstream_locality_stats.add(
-                    total_successful_requests=good, total_error_requests=bad,
-                    total_issued_requests=good + bad)
+                    total_successful_requests=good, total_error_requests=bad, total_issued_requests=good + bad
+                )
                 met.locality.zone, met.locality.sub_zone = self.zone, server
                 if good:
-                    met.load_metric_stats.add(metric_name="foxstep.latency_us", total_metric_value=took * 1e6,
-                                              num_requests_finished_with_metric=good)
+                    met.load_metric_stats.add(
+                        metric_name="foxstep.latency_us",
+                        total_metric_value=took * 1e6,
+                        num_requests_finished_with_metric=good,
+                    )
                 for name, (times, total) in load.items():
-                    met.load_metric_stats.add(metric_name=name, num_requests_finished_with_metric=times,
-                                              total_metric_value=total)
+                    met.load_metric_stats.add(
+                        metric_name=name, num_requests_finished_with_metric=times, total_metric_value=total
+                    )
             began = now
             await call.write(request)
 
--- a/foxstep/proxy/door.py
+++ b/foxstep/proxy/door.py
@@ -11,10 +11,11 @@
 
 from foxstep.proxy.wired import Wired
 
-CONFIG = h2.config.H2Configuration(client_side=False, header_encoding=None, validate_inbound_headers=True,
-                                   normalize_outbound_headers=False)
-STREAMS = 256               # ops at once on one client's connection
-REPLAY_MOST = 256 * 1024    # bytes of a request that are kept for a further try
+CONFIG = h2.config.H2Configuration(
+    client_side=False, header_encoding=None, validate_inbound_headers=True, normalize_outbound_headers=False
+)
+STREAMS = 256  # ops at once on one client's connection
+REPLAY_MOST = 256 * 1024  # bytes of a request that are kept for a further try
 
 
 class Op:
@@ -84,9 +85,13 @@
     def connection_made(self, transport):
         self.transport = transport
         self.door.clients[self] = None
-        self.wire.local_settings = h2.settings.Settings(client=False, initial_values={
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS,
-            h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 2 * REPLAY_MOST})
+        self.wire.local_settings = h2.settings.Settings(
+            client=False,
+            initial_values={
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS,
+                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 2 * REPLAY_MOST,
+            },
+        )
         self.wire.initiate_connection()
         self.wire.increment_flow_control_window(4 * 2**20)
         self.flush()
@@ -159,7 +164,7 @@
         while at < len(data) and not op.gone and not self.gone:
             room = min(self.wire.local_flow_control_window(op.number), self.wire.max_outbound_frame_size)
             if room > 0:
-                self.wire.send_data(op.number, data[at:at + room])
+                self.wire.send_data(op.number, data[at : at + room])
                 at += room
                 self.flush()
             else:
--- a/foxstep/proxy/forward.py
+++ b/foxstep/proxy/forward.py
@@ -30,13 +30,24 @@
     """`op_types`: plain maps with `name`, `method`, `op_timeout` (microseconds). Times in `clock` are
     seconds."""
 
-    def __init__(self, op_types, picker, tries, levels, reports, clock, keepalive=15.0, connect=0.25,
-                 connections=4, note=lambda *_, **__: None):
+    def __init__(
+        self,
+        op_types,
+        picker,
+        tries,
+        levels,
+        reports,
+        clock,
+        keepalive=15.0,
+        connect=0.25,
+        connections=4,
+        note=lambda *_, **__: None,
+    ):
         self.op_types, self.picker, self.tries, self.levels = op_types, picker, tries, levels
         self.reports, self.clock, self.note = reports, clock, note
         self.keepalive, self.connect, self.connections = keepalive, connect, connections
         self.pools, self.still_until = {}, 0.0
-        self.try_wait = {}   # op type -> seconds that a try has which may be followed after any failure
+        self.try_wait = {}  # op type -> seconds that a try has which may be followed after any failure
         self.by_method = {o["method"]: o for o in op_types if o.get("method")}
         self.by_name = {o["name"]: o for o in op_types if not o.get("method")}
 
@@ -55,8 +66,9 @@
 
     def pool(self, server):
         if server not in self.pools:
-            self.pools[server] = Pool(server, self.clock, self.connections, connect=self.connect,
-                                      idle=self.keepalive)
+            self.pools[server] = Pool(
+                server, self.clock, self.connections, connect=self.connect, idle=self.keepalive
+            )
         return self.pools[server]
 
     async def handle(self, op):
@@ -105,11 +117,11 @@
             if op.gone:
                 return
             if ending == "error" and op.began:
-                return                        # its error went to the client with its trailers
+                return  # its error went to the client with its trailers
             if self.tries.again(name, "cut" if op.began else ending, further, since, op.began, op.replayable):
                 further += 1
                 continue
-            if isinstance(status, list):      # an answer with an error status, not passed on yet
+            if isinstance(status, list):  # an answer with an error status, not passed on yet
                 op.head(status, True)
                 return
             op.refuse(status, why, self.levels.wait if status == UNAVAILABLE else None)
@@ -156,7 +168,7 @@
             event = await under_way.event()
             if event[0] == "headers":
                 headers = [(k, v) for k, v in event[1] if k != b"connection"]
-                if event[2]:                    # trailers alone: a status without a message
+                if event[2]:  # trailers alone: a status without a message
                     status = dict(headers).get(b"grpc-status", b"2")
                     if status != b"0":
                         return headers, load_of(headers)
@@ -173,7 +185,7 @@
                 if not failed:
                     return 0, load
                 if op.gone or op.number not in op.client.ops:
-                    return True, load           # the trailers went on
+                    return True, load  # the trailers went on
                 raise Ended("cut", "the answer ended without a status")
 
     def close_idle(self):
--- a/foxstep/proxy/levels.py
+++ b/foxstep/proxy/levels.py
@@ -36,7 +36,7 @@
     def __init__(self, seed, wait):
         self.seed, self.wait, self.count = seed, wait, 0
         self.buckets, self.shares, self.until = {}, {}, {}
-        self.came = {}   # op type -> [let in, not let in] since last told
+        self.came = {}  # op type -> [let in, not let in] since last told
 
     def rate(self, now, op_type, rate, burst, lasts=0):
         """None lets all in. `lasts`: microseconds until the assignment expires; 0: never."""
--- a/foxstep/proxy/tries.py
+++ b/foxstep/proxy/tries.py
@@ -4,20 +4,20 @@
 """
 
 PROOF = {
-    "refused": True,          # no connection came up: nothing was sent
+    "refused": True,  # no connection came up: nothing was sent
     "connect-timeout": True,  # the same, given up
-    "unsent": True,           # a connection was up, but no byte of the op was handed to it
-    "goaway": True,           # the server named a last stream below this one
-    "refused-stream": True,   # RST_STREAM with REFUSED_STREAM
-    "goaway-taken": False,    # the server named a last stream at or above this one, then went
-    "reset": False,           # RST_STREAM for another reason, or the connection broke after sending
-    "timeout": False,         # no answer in time
-    "error": False,           # an answer with a status other than OK: it may have run before it failed
-    "cut": False,             # the answer had begun
+    "unsent": True,  # a connection was up, but no byte of the op was handed to it
+    "goaway": True,  # the server named a last stream below this one
+    "refused-stream": True,  # RST_STREAM with REFUSED_STREAM
+    "goaway-taken": False,  # the server named a last stream at or above this one, then went
+    "reset": False,  # RST_STREAM for another reason, or the connection broke after sending
+    "timeout": False,  # no answer in time
+    "error": False,  # an answer with a status other than OK: it may have run before it failed
+    "cut": False,  # the answer had begun
 }
-NEVER, PROVEN, ONCE, TWICE = range(4)   # the ways of trying again, as a controller orders them
-BUDGET_PART = 0.2       # further tries for each first try, over a while,
-BUDGET_MOST = 10.0      # and so many saved up
+NEVER, PROVEN, ONCE, TWICE = range(4)  # the ways of trying again, as a controller orders them
+BUDGET_PART = 0.2  # further tries for each first try, over a while,
+BUDGET_MOST = 10.0  # and so many saved up
 
 
 class Tries:
--- a/foxstep/proxy/upstream.py
+++ b/foxstep/proxy/upstream.py
@@ -11,8 +11,9 @@
 from foxstep.proxy.wired import Wired
 
 WINDOW = 256 * 1024
-CONFIG = h2.config.H2Configuration(client_side=True, header_encoding=None, validate_inbound_headers=False,
-                                   normalize_outbound_headers=False)
+CONFIG = h2.config.H2Configuration(
+    client_side=True, header_encoding=None, validate_inbound_headers=False, normalize_outbound_headers=False
+)
 
 
 class Ended(Exception):
@@ -51,7 +52,7 @@
             if self.done:
                 return
             room = min(wire.local_flow_control_window(self.number), wire.max_outbound_frame_size)
-            part = data[at:at + room]
+            part = data[at : at + room]
             at += len(part)
             last = at >= len(data)
             if part or last:
@@ -219,8 +220,12 @@
         host, _, port = self.server.rpartition(":")
         self.dialling += 1
         try:
-            _, made = await asyncio.wait_for(asyncio.get_running_loop().create_connection(
-                lambda: Connection(self), host.strip("[]"), int(port)), left)
+            _, made = await asyncio.wait_for(
+                asyncio.get_running_loop().create_connection(
+                    lambda: Connection(self), host.strip("[]"), int(port)
+                ),
+                left,
+            )
         except TimeoutError:
             raise Ended("connect-timeout", f"no connection to {self.server} in time") from None
         except OSError as error:
--- a/foxstep/sasp/balancer.py
+++ b/foxstep/sasp/balancer.py
@@ -9,7 +9,7 @@
 from foxstep.sasp.wire import Flag, Group, Kind, Member, Message
 
 ANSWER_WITHIN = 5.0
-REDIAL = 0.3          # seconds before dialling again
+REDIAL = 0.3  # seconds before dialling again
 MOST_BYTES = 8 << 20
 
 
@@ -28,8 +28,9 @@
 class Balancer:
     """`groups`: name -> servers. `on_weights(group)` is called whenever a group's weights have come."""
 
-    def __init__(self, ident, address, groups, push=True, trust=True, changes_only=True,
-                 on_weights=lambda group: None):
+    def __init__(
+        self, ident, address, groups, push=True, trust=True, changes_only=True, on_weights=lambda group: None
+    ):
         self.ident, self.address, self.push = ident.encode(), address, push
         self.groups = {name: dict.fromkeys(servers) for name, servers in groups.items()}
         self.flags = (Flag.PUSH * push) | (Flag.TRUST * trust) | (Flag.NO_CHANGE * changes_only)
@@ -44,8 +45,15 @@
         while True:
             try:
                 await self.session()
-            except* (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError,
-                     TimeoutError, wire.Malformed, Refused) as broken:
+            except* (
+                OSError,
+                anyio.EndOfStream,
+                anyio.BrokenResourceError,
+                anyio.ClosedResourceError,
+                TimeoutError,
+                wire.Malformed,
+                Refused,
+            ) as broken:
                 self.log.info("session ended", why=str(broken.exceptions[0])[:120])
             await anyio.sleep(REDIAL)
 
@@ -57,7 +65,7 @@
         self.waiting = {}
         async with self.stream, anyio.create_task_group() as group:
             group.start_soon(self.read)
-            await self.ask(Message(Kind.SET_BALANCER, 0, balancer=self.ident, health=0x7f, flags=self.flags))
+            await self.ask(Message(Kind.SET_BALANCER, 0, balancer=self.ident, health=0x7F, flags=self.flags))
             for name in self.groups:
                 await self.bring_up_to_date(name)
             while True:
@@ -77,8 +85,14 @@
     async def register(self, groups, servers):
         """Raises Refused where the manager does not take them."""
         members = tuple(map(member_of, servers))
-        return await self.ask(Message(Kind.REGISTER, 0, tuple(
-            (Group(self.ident, group.encode()), members) for group in groups), Flag.BALANCER))
+        return await self.ask(
+            Message(
+                Kind.REGISTER,
+                0,
+                tuple((Group(self.ident, group.encode()), members) for group in groups),
+                Flag.BALANCER,
+            )
+        )
 
     async def add(self, server):
         """A server more in every group; while no session stands it is only noted."""
@@ -86,8 +100,14 @@
             servers[server] = None
         try:
             await self.register(self.groups, [server])
-        except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError, TimeoutError, AttributeError,
-                Refused):
+        except (
+            OSError,
+            anyio.BrokenResourceError,
+            anyio.ClosedResourceError,
+            TimeoutError,
+            AttributeError,
+            Refused,
+        ):
             pass  # the next session registers what is missing
 
     async def get(self):
@@ -100,7 +120,8 @@
         for group, weights in groups:
             name = group.name.decode()
             self.weights.setdefault(name, {}).update(
-                (told.member.server(), (told.weight, told.flags)) for told in weights)
+                (told.member.server(), (told.weight, told.flags)) for told in weights
+            )
             self.on_weights(name)
 
     async def ask(self, message, refused=Refused):
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -14,20 +14,29 @@
 from foxstep.tables.ledger import thousandths
 
 SECOND = 1_000_000
-WRITE_WITHIN = 10.0      # seconds after which a reader that takes nothing is let go
-FIRST_WORD = 10.0        # seconds within which a new connection has to say something
+WRITE_WITHIN = 10.0  # seconds after which a reader that takes nothing is let go
+FIRST_WORD = 10.0  # seconds within which a new connection has to say something
 READ_AT_ONCE = 65_536
-PUSH_MOST = 1_000        # weights in one message that is pushed; more become several
+PUSH_MOST = 1_000  # weights in one message that is pushed; more become several
 CLOSED = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, TimeoutError, OSError)
 
 CODES = {
-    Answer.DONE: Code.SUCCESS, Answer.NOT_ACCEPTED: Code.NOT_ACCEPTED,
-    Answer.ALREADY: Code.ALREADY_REGISTERED, Answer.TWICE: Code.TWICE_IN_REQUEST,
-    Answer.NOT_REGISTERED: Code.NOT_REGISTERED, Answer.UNKNOWN_GROUP: Code.UNKNOWN_GROUP,
-    Answer.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER, Answer.NO_CONTACT: Code.NO_CONTACT,
+    Answer.DONE: Code.SUCCESS,
+    Answer.NOT_ACCEPTED: Code.NOT_ACCEPTED,
+    Answer.ALREADY: Code.ALREADY_REGISTERED,
+    Answer.TWICE: Code.TWICE_IN_REQUEST,
+    Answer.NOT_REGISTERED: Code.NOT_REGISTERED,
+    Answer.UNKNOWN_GROUP: Code.UNKNOWN_GROUP,
+    Answer.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER,
+    Answer.NO_CONTACT: Code.NO_CONTACT,
+}
+REPLIES = {
+    Kind.REGISTER: Kind.REGISTERED,
+    Kind.DEREGISTER: Kind.DEREGISTERED,
+    Kind.GET_WEIGHTS: Kind.WEIGHTS,
+    Kind.SET_BALANCER: Kind.BALANCER_SET,
+    Kind.SET_MEMBERS: Kind.MEMBERS_SET,
 }
-REPLIES = {Kind.REGISTER: Kind.REGISTERED, Kind.DEREGISTER: Kind.DEREGISTERED, Kind.GET_WEIGHTS: Kind.WEIGHTS,
-           Kind.SET_BALANCER: Kind.BALANCER_SET, Kind.SET_MEMBERS: Kind.MEMBERS_SET}
 
 
 def door(name):
@@ -45,7 +54,7 @@
     def __init__(self, connection, ident, name):
         self.connection, self.ident, self.name = connection, ident, name
         self.holding, self.version, self.ordered_at = None, None, None
-        self.changed = {}   # lines delivered and not yet written: no more than its lines, if it reads slowly
+        self.changed = {}  # lines delivered and not yet written: no more than its lines, if it reads slowly
 
     def deliver(self, holding, message):
         self.holding = holding
@@ -94,8 +103,11 @@
                         await self.read()
                     group.cancel_scope.cancel()
         except* CLOSED as broken:
-            self.reason = f"took nothing for {WRITE_WITHIN:.0f} s" if any(
-                isinstance(e, TimeoutError) for e in broken.exceptions) else "broken"
+            self.reason = (
+                f"took nothing for {WRITE_WITHIN:.0f} s"
+                if any(isinstance(e, TimeoutError) for e in broken.exceptions)
+                else "broken"
+            )
         finally:
             for ident, outlet in self.outlets.items():
                 if self.front.outlets.get(ident) is outlet:
@@ -142,8 +154,12 @@
         if message.kind not in REPLIES:
             return await self.send(Message(Kind.BALANCER_SET, message.number, code=Code.NOT_UNDERSTOOD))
         self.reading = message.reading if message.groups else self.reading
-        answers = {Kind.REGISTER: self.registers, Kind.DEREGISTER: self.deregisters,
-                   Kind.SET_BALANCER: self.sets_balancer, Kind.SET_MEMBERS: self.sets_members}
+        answers = {
+            Kind.REGISTER: self.registers,
+            Kind.DEREGISTER: self.deregisters,
+            Kind.SET_BALANCER: self.sets_balancer,
+            Kind.SET_MEMBERS: self.sets_members,
+        }
         reply = Message(REPLIES[message.kind], message.number)
         if message.kind == Kind.GET_WEIGHTS:
             code, groups, asked = self.weights(message)
@@ -185,31 +201,57 @@
             return Code.GROUP_NAME_SIZE
         if code := self.of_balancers(message):
             return code
-        return CODES[self.register.register(bool(message.flags & Flag.BALANCER), [
-            (ident_of(group.balancer), door(group.name), [(m.server(), m) for m in members])
-            for group, members in message.groups])]
+        return CODES[
+            self.register.register(
+                bool(message.flags & Flag.BALANCER),
+                [
+                    (ident_of(group.balancer), door(group.name), [(m.server(), m) for m in members])
+                    for group, members in message.groups
+                ],
+            )
+        ]
 
     def deregisters(self, message):
         if code := self.of_balancers(message):
             return code
-        return CODES[self.register.deregister(bool(message.flags & Flag.BALANCER), [
-            (ident_of(group.balancer), door(group.name), [m.server() for m in members])
-            for group, members in message.groups])]
+        return CODES[
+            self.register.deregister(
+                bool(message.flags & Flag.BALANCER),
+                [
+                    (ident_of(group.balancer), door(group.name), [m.server() for m in members])
+                    for group, members in message.groups
+                ],
+            )
+        ]
 
     def sets_members(self, message):
         if code := self.of_balancers(message):
             return code
-        return CODES[self.register.set_members(bool(message.flags & Flag.BALANCER), [
-            (ident_of(group.balancer), door(group.name),
-             [(s.member.server(), s.state, bool(s.flags & Flag.MEMBER_QUIESCE)) for s in states])
-            for group, states in message.groups])]
+        return CODES[
+            self.register.set_members(
+                bool(message.flags & Flag.BALANCER),
+                [
+                    (
+                        ident_of(group.balancer),
+                        door(group.name),
+                        [(s.member.server(), s.state, bool(s.flags & Flag.MEMBER_QUIESCE)) for s in states],
+                    )
+                    for group, states in message.groups
+                ],
+            )
+        ]
 
     def sets_balancer(self, message):
         if code := self.speaks(message.balancer):
             return code
         flags, ident = message.flags, ident_of(message.balancer)
-        answer = self.register.set_balancer(ident, bool(flags & Flag.PUSH), bool(flags & Flag.TRUST),
-                                            bool(flags & Flag.NO_CHANGE), message.health)
+        answer = self.register.set_balancer(
+            ident,
+            bool(flags & Flag.PUSH),
+            bool(flags & Flag.TRUST),
+            bool(flags & Flag.NO_CHANGE),
+            message.health,
+        )
         self.outlets[ident].connection.stirred.set()
         return CODES[answer]
 
@@ -228,9 +270,15 @@
             if answer is not Answer.DONE:
                 return CODES[answer], (), ()
             outlet = asked[ident] = self.outlets[ident]
-            groups += [(wire.Group(outlet.name, unquote_to_bytes(name)),
-                        tuple(self.front.weight(outlet, name, server, entry)
-                              for server, entry in entries.items())) for name, entries in found.items()]
+            groups += [
+                (
+                    wire.Group(outlet.name, unquote_to_bytes(name)),
+                    tuple(
+                        self.front.weight(outlet, name, server, entry) for server, entry in entries.items()
+                    ),
+                )
+                for name, entries in found.items()
+            ]
         return Code.SUCCESS, tuple(groups), asked.values()
 
     async def push(self):
@@ -255,8 +303,13 @@
     def __init__(self, host, advice):
         self.host, self.log = host, structlog.get_logger("foxstep.sasp")
         self.most_balancers, self.most_bytes = advice["balancers"], advice["message"]
-        self.register = Register(advice["balancers"], advice["groups"], advice["members"], advice["keep"],
-                                 host.desk.advice.most_lines())
+        self.register = Register(
+            advice["balancers"],
+            advice["groups"],
+            advice["members"],
+            advice["keep"],
+            host.desk.advice.most_lines(),
+        )
         # A balancer that asks has to hear of a drain within the grace: twice in it, as whole seconds allow.
         self.interval = max(1, host.site["grace"] // (2 * SECOND))
         self.outlets, self.connections = {}, 0
@@ -282,13 +335,15 @@
         if server.endswith(":0"):
             state = "open" if weight else state  # a whole system: its servers' states are in the weight
         if state != "open":
-            weight = 0                           # whatever still waits in the channel
+            weight = 0  # whatever still waits in the channel
         warm = weight and self.host.desk.standing.get(server, (0, 0, 1))[2] == 1
-        flags = ((Flag.CONTACT if state != "gone" else 0)
-                 | (Flag.QUIESCE if state != "open" or entry.quiesced else 0)
-                 | (Flag.REGISTRATION if entry.by_balancer else 0) | (Flag.CONFIDENCE if warm else 0))
-        return Weight(entry.shown, entry.state, int(flags),
-                      min(thousandths(weight), 0xffff) if weight else 0)
+        flags = (
+            (Flag.CONTACT if state != "gone" else 0)
+            | (Flag.QUIESCE if state != "open" or entry.quiesced else 0)
+            | (Flag.REGISTRATION if entry.by_balancer else 0)
+            | (Flag.CONFIDENCE if warm else 0)
+        )
+        return Weight(entry.shown, entry.state, int(flags), min(thousandths(weight), 0xFFFF) if weight else 0)
 
     def push_of(self, outlet, balancer, lines):
         """(group, weights) for each message that tells a balancer of changed lines: these alone where it
@@ -300,10 +355,12 @@
                 changed.setdefault(group, {})[server] = None
         for group, servers in changed.items():
             entries = balancer.groups[group]
-            told = [self.weight(outlet, group, server, entries[server])
-                    for server in (servers if balancer.changes_only else entries)]
+            told = [
+                self.weight(outlet, group, server, entries[server])
+                for server in (servers if balancer.changes_only else entries)
+            ]
             for k in range(0, len(told), PUSH_MOST):
-                yield wire.Group(outlet.name, unquote_to_bytes(group)), tuple(told[k:k + PUSH_MOST])
+                yield wire.Group(outlet.name, unquote_to_bytes(group)), tuple(told[k : k + PUSH_MOST])
 
     async def handle(self, stream):
         if self.connections >= 2 * self.most_balancers:
--- a/foxstep/sasp/wire.py
+++ b/foxstep/sasp/wire.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 VERSION = 1
-HEADER_TYPE, HEADER = 0x2010, Struct("!HHBII")     # type, length, version, length of the message, its number
+HEADER_TYPE, HEADER = 0x2010, Struct("!HHBII")  # type, length, version, length of the message, its number
 HEADER_SIZE = HEADER.size
 COMPONENT, COUNT, MEMBER, STANDING = Struct("!HH"), Struct("!H"), Struct("!BH16s"), Struct("!BBH")
 OWN, WHOLE = "own", "whole"
@@ -46,16 +46,16 @@
 class Flag(IntFlag):
     """One bit each, the least first, as every flag byte of its message has them."""
 
-    BALANCER = 0x01                                        # in requests: a balancer speaks, not a member
-    PUSH, TRUST, NO_CHANGE = 0x01, 0x02, 0x04              # of a balancer's state
+    BALANCER = 0x01  # in requests: a balancer speaks, not a member
+    PUSH, TRUST, NO_CHANGE = 0x01, 0x02, 0x04  # of a balancer's state
     CONTACT, QUIESCE, REGISTRATION, CONFIDENCE = 0x01, 0x02, 0x04, 0x08  # of a weight
-    MEMBER_QUIESCE = 0x01                                  # of a member's state
+    MEMBER_QUIESCE = 0x01  # of a member's state
 
 
 class Member(NamedTuple):
-    protocol: int      # of IP: 6 TCP, 17 UDP, 0 the whole system
+    protocol: int  # of IP: 6 TCP, 17 UDP, 0 the whole system
     port: int
-    address: bytes     # 16 bytes; IPv4 mapped into IPv6, or compatible with it
+    address: bytes  # 16 bytes; IPv4 mapped into IPv6, or compatible with it
     label: bytes = b""
 
     def ipv4(self):
@@ -78,7 +78,7 @@
 
 class Weight(NamedTuple):
     member: Member
-    state: int         # opaque, as the member's state was set
+    state: int  # opaque, as the member's state was set
     flags: int
     weight: int
 
@@ -99,10 +99,10 @@
     flags: int = 0
     code: int = 0
     reason: int = 0
-    interval: int = 0          # seconds until the next question
+    interval: int = 0  # seconds until the next question
     balancer: bytes = b""
     health: int = 0
-    reading: str = OWN         # how the lengths of nested components count
+    reading: str = OWN  # how the lengths of nested components count
 
 
 class Malformed(ValueError):
@@ -160,7 +160,7 @@
         if self.at + size > len(self.data):
             raise Malformed(f"cut short: expected {size} bytes of text", self.at)
         self.at += size
-        return bytes(self.data[self.at - size:self.at])
+        return bytes(self.data[self.at - size : self.at])
 
     def begin(self, wanted):
         start = self.at
@@ -277,8 +277,9 @@
 
 def written_one(part, one, reading):
     member = one if part == Part.MEMBERS else one.member
-    made = component(Part.MEMBER, OWN, MEMBER.pack(member.protocol, member.port, member.address)
-                     + text(member.label))
+    made = component(
+        Part.MEMBER, OWN, MEMBER.pack(member.protocol, member.port, member.address) + text(member.label)
+    )
     if part == Part.WEIGHTS:
         return component(Part.WEIGHT, reading, b"", made, STANDING.pack(one.state, one.flags, one.weight))
     if part == Part.STATES:
--- a/foxstep/simhost/host.py
+++ b/foxstep/simhost/host.py
@@ -11,16 +11,28 @@
     "watch": lambda on: ("OBSERVE", ("on", int(on))),
     "fetch": lambda: ("PULL",),
     "probe": lambda server: ("ASK_LOAD", ("backend", server)),
-    "tell": lambda peer, payload: ("ANNOUNCE", ("target", "all" if peer is None else peer),
-                                   ("data", payload.hex() or "-")),
+    "tell": lambda peer, payload: (
+        "ANNOUNCE",
+        ("target", "all" if peer is None else peer),
+        ("data", payload.hex() or "-"),
+    ),
     "note": lambda text: ("REMARK", ("msg", plain(text))),
-    "weigh": lambda table, server, weight: ("WEIGH", ("mapId", table), ("backend", server),
-                                            ("w", wire.number(weight))),
+    "weigh": lambda table, server, weight: (
+        "WEIGH",
+        ("mapId", table),
+        ("backend", server),
+        ("w", wire.number(weight)),
+    ),
     "empty": lambda table: ("DROP_LINES", ("mapId", table)),
     "bind": lambda proxy, table, ops: ("HAND_TABLE", ("proxy", proxy), ("mapId", table), ("mask", ops)),
     "withdraw": lambda server, on: ("BENCH", ("backend", server), ("on", int(on))),
-    "admit": lambda table, ops, level, tries: ("ADMIT", ("mapId", table), ("mask", ops),
-                                               ("quota", wire.number(level)), ("onFailure", tries)),
+    "admit": lambda table, ops, level, tries: (
+        "ADMIT",
+        ("mapId", table),
+        ("mask", ops),
+        ("quota", wire.number(level)),
+        ("onFailure", tries),
+    ),
     "mark": lambda version, everyone: ("SEAL", ("epoch", version), ("on", int(everyone))),
 }
 
@@ -91,8 +103,11 @@
                 out.append(wire.write_line(name, ("controllerId", ident), *pairs))
         except Exception as error:
             self.complain(f"controller {ident}: {type(error).__name__}: {error}")
-            out.append(wire.write_line("DIE", ("controllerId", ident),
-                                       ("msg", plain(f"{type(error).__name__}: {error}"))))
+            out.append(
+                wire.write_line(
+                    "DIE", ("controllerId", ident), ("msg", plain(f"{type(error).__name__}: {error}"))
+                )
+            )
         return out
 
     def load(self, ident, text):
@@ -111,6 +126,7 @@
         def make():
             self.loads[ident] = site.get("reports", [])
             self.instances[ident] = self.make(self.now, site, seed)
+
         return make
 
     def stop(self, ident, f):
@@ -149,7 +165,8 @@
         latency, window = names.micros(f.get("timeTaken", 0)), names.micros(f["window"])
         load = self.load(ident, f.get("report"))
         return lambda: self.instances[ident].heard(
-            self.now, server, zone, tries, aborted, latency, window, load)
+            self.now, server, zone, tries, aborted, latency, window, load
+        )
 
     def used(self, ident, f):
         proxy, op_type, ops = int(f["proxy"]), f["profile"], int(f["triesN"])
@@ -164,10 +181,22 @@
         """Slices are in no deployment yet: read, and nothing follows from them."""
         int(f["mapId"])
 
-    EVENTS = {"ENLIST": start, "CRASH_NOW": stop, "PEERS_KNOWN": members, "TICK_DUE": woken,
-              "PROBE_RESULT": probed, "PEER": told, "JOINED": joined, "DROPPED_OFF": left, "OBSERVED": heard,
-              "USAGE": used, "APPLIED": applied, "LEASED": sliced, "STANDING_LINE": sliced,
-              "WEIGHT_SEEN": sliced}
+    EVENTS = {
+        "ENLIST": start,
+        "CRASH_NOW": stop,
+        "PEERS_KNOWN": members,
+        "TICK_DUE": woken,
+        "PROBE_RESULT": probed,
+        "PEER": told,
+        "JOINED": joined,
+        "DROPPED_OFF": left,
+        "OBSERVED": heard,
+        "USAGE": used,
+        "APPLIED": applied,
+        "LEASED": sliced,
+        "STANDING_LINE": sliced,
+        "WEIGHT_SEEN": sliced,
+    }
 
     # -- the loop --------------------------------------------------------------------------------------------
 
--- a/foxstep/simhost/names.py
+++ b/foxstep/simhost/names.py
@@ -19,12 +19,24 @@
 
 EFFECTS = {"read_like": "retryable", "idempotency_key": "deduplicated", "non_idempotent": "once-only"}
 LEVELS = {"fraction": "share", "per_second": "rate", "none": "none"}
-LOADS = {"cpu": "busy", "waiting": "waiting", "active": "holding", "avg_ms": "service", "rps": "acked_rate",
-         "err_rps": "aborted_rate"}
+LOADS = {
+    "cpu": "busy",
+    "waiting": "waiting",
+    "active": "holding",
+    "avg_ms": "service",
+    "rps": "acked_rate",
+    "err_rps": "aborted_rate",
+}
 STATES = {"in_service": "open", "terminating": "draining", "terminated": "gone"}
 LISTS = {"Partial": "changes", "Complete": "whole", "Persisted": "remembered", "Error": "failed"}
-OUTCOMES = {"success": "acked", "failure": "aborted", "overloaded": "rejected", "timed_out": "silent",
-            "unreachable": "unreachable", "broken": "broken"}
+OUTCOMES = {
+    "success": "acked",
+    "failure": "aborted",
+    "overloaded": "rejected",
+    "timed_out": "silent",
+    "unreachable": "unreachable",
+    "broken": "broken",
+}
 
 # wire path -> our name in the map of what is told at the start, and how its text is read
 SITE = {
@@ -91,8 +103,15 @@
 
 
 # What servers write of themselves, in the words of the settings or of the protocol's page -> our names.
-PROBED = {**LOADS, "util": "busy", "queue": "waiting", "inflight": "holding", "latency_ms": "service",
-          "qps": "acked_rate", "eps": "aborted_rate"}
+PROBED = {
+    **LOADS,
+    "util": "busy",
+    "queue": "waiting",
+    "inflight": "holding",
+    "latency_ms": "service",
+    "qps": "acked_rate",
+    "eps": "aborted_rate",
+}
 
 
 def report_of(pairs, known):
--- a/foxstep/simhost/wire.py
+++ b/foxstep/simhost/wire.py
@@ -30,6 +30,12 @@
 
 def listed_line(fields, states):
     """An ENTRY as the module's plain line of the list."""
-    return (fields["backend"], fields.get("area", ""), fields.get("generationHw", ""),
-            int(fields.get("cell", 0)), states[fields["condition"]], float(fields.get("w", 1)),
-            micros(fields.get("onlineSince", 0)))
+    return (
+        fields["backend"],
+        fields.get("area", ""),
+        fields.get("generationHw", ""),
+        int(fields.get("cell", 0)),
+        states[fields["condition"]],
+        float(fields.get("w", 1)),
+        micros(fields.get("onlineSince", 0)),
+    )
--- a/foxstep/site/types.py
+++ b/foxstep/site/types.py
@@ -39,27 +39,27 @@
 class Controllers(Strict, kw_only=True):
     count: Some = 1
     me: Count = 0
-    step: Time = Time(4_000)           # the shortest gap between two batches of decisions
+    step: Time = Time(4_000)  # the shortest gap between two batches of decisions
     peers: bool = False
-    exchange: Positive = 16_000.0      # bytes a second of what each tells the others beside who is alive
+    exchange: Positive = 16_000.0  # bytes a second of what each tells the others beside who is alive
 
 
 class ServerList(Strict, kw_only=True):
-    cluster: Name = "servers"          # the resource that the list service knows the fleet by
-    asked: bool = True                 # it answers only when asked
+    cluster: Name = "servers"  # the resource that the list service knows the fleet by
+    asked: bool = True  # it answers only when asked
     ask_within: Time = Time(10_000_000)
     weights: Literal["none", "nominal", "rough", "live"] = "none"
 
 
 class OpKind(Strict, kw_only=True):
     name: Name
-    method: str = ""                   # gRPC method path; "": any method whose last part is the name
+    method: str = ""  # gRPC method path; "": any method whose last part is the name
     earnings: Positive = 1.0
     target_latency: Time
     op_timeout: Time
     effect: Literal["retryable", "deduplicated", "once-only"]
     scope: Literal["all", "zone", "cell"] = "all"
-    window: Time = Time(0)             # deduplicated: how long a repeat is dropped
+    window: Time = Time(0)  # deduplicated: how long a repeat is dropped
     late_part: Annotated[float, Meta(ge=0, le=1)] = 0.0
     own_zone: bool = False
 
@@ -76,18 +76,18 @@
 
 class Channel(Strict, kw_only=True):
     lines_per_s: Positive
-    backlog: Positive                  # lines that may wait
-    head: Count = 4                    # lines a message costs beside its own
-    messages_most: Count = 0           # to one proxy within `messages_window`; 0: no such limit
+    backlog: Positive  # lines that may wait
+    head: Count = 4  # lines a message costs beside its own
+    messages_most: Count = 0  # to one proxy within `messages_window`; 0: no such limit
     messages_window: Time = Time(10_000_000)
-    transit: Time = Time(5_000)        # mean way of a message
+    transit: Time = Time(5_000)  # mean way of a message
     transit_most: Time = Time(100_000)
 
 
 class Reports(Strict, kw_only=True):
     cycle: Time = Time(1_000_000)
-    intake_per_s: Positive = 200.0     # lines that the decisions get
-    cpu_part: Part = 0.4               # of one core, for reading reports; proxies are asked for fewer beyond
+    intake_per_s: Positive = 200.0  # lines that the decisions get
+    cpu_part: Part = 0.4  # of one core, for reading reports; proxies are asked for fewer beyond
     fields: list[Literal["busy", "waiting", "holding", "service", "acked_rate", "aborted_rate"]] = []
     by: Literal["answers", "probe", "none"] = "none"
     probes: bool = False
@@ -107,10 +107,10 @@
     """What balancers that ask for advice can make a controller hold."""
 
     balancers: Some = 64
-    groups: Some = 64                  # of one balancer
-    members: Some = 20_000             # of all
+    groups: Some = 64  # of one balancer
+    members: Some = 20_000  # of all
     message: Annotated[int, Meta(ge=1_000, le=64 << 20)] = 1 << 20  # bytes
-    keep: Time = Time(300_000_000)     # for so long a balancer that is away keeps what it registered
+    keep: Time = Time(300_000_000)  # for so long a balancer that is away keeps what it registered
 
 
 class Goal(Strict, kw_only=True):
@@ -162,29 +162,63 @@
 
     def plain(self):
         """The map of names to values that the module gets; the names are those of simhost/names.py."""
-        kinds = [{"name": o.name, "earnings": o.earnings, "target_latency": int(o.target_latency),
-                  "op_timeout": int(o.op_timeout), "effect": o.effect, "scope": o.scope,
-                  "window": int(o.window), "late_part": o.late_part} for o in self.op_types]
+        kinds = [
+            {
+                "name": o.name,
+                "earnings": o.earnings,
+                "target_latency": int(o.target_latency),
+                "op_timeout": int(o.op_timeout),
+                "effect": o.effect,
+                "scope": o.scope,
+                "window": int(o.window),
+                "late_part": o.late_part,
+            }
+            for o in self.op_types
+        ]
         channel, rules, reports, proxies = self.channel, self.rules, self.reports, self.proxies
         return {
-            "op_types": kinds, "own_zone": [o.own_zone for o in self.op_types],
-            "controllers": self.controllers.count, "me": self.controllers.me, "peers": self.controllers.peers,
-            "step": int(self.controllers.step), "zone": self.zone, "zones": [*self.zones],
-            "kinds": [*self.kinds], "list_asked": self.server_list.asked,
+            "op_types": kinds,
+            "own_zone": [o.own_zone for o in self.op_types],
+            "controllers": self.controllers.count,
+            "me": self.controllers.me,
+            "peers": self.controllers.peers,
+            "step": int(self.controllers.step),
+            "zone": self.zone,
+            "zones": [*self.zones],
+            "kinds": [*self.kinds],
+            "list_asked": self.server_list.asked,
             "listed_weights": self.server_list.weights,
-            "ask_within": int(self.server_list.ask_within), "keepalive": int(proxies.keepalive),
-            "probes": reports.probes, "reports": [*reports.fields], "reports_by": reports.by,
-            "cycle": int(reports.cycle), "intake_per_s": reports.intake_per_s,
-            "goal_whole": self.goal.whole, "goal_worst_op_type": self.goal.worst_op_type,
+            "ask_within": int(self.server_list.ask_within),
+            "keepalive": int(proxies.keepalive),
+            "probes": reports.probes,
+            "reports": [*reports.fields],
+            "reports_by": reports.by,
+            "cycle": int(reports.cycle),
+            "intake_per_s": reports.intake_per_s,
+            "goal_whole": self.goal.whole,
+            "goal_worst_op_type": self.goal.worst_op_type,
             "goal_worst_window": self.goal.worst_window,
             **{f"price_{name}": getattr(self.prices, name) for name in Prices.__struct_fields__},
-            "cold_share": rules.cold_share, "ramp": int(rules.ramp), "grace": int(rules.grace),
-            "fall_multiple": rules.fall_multiple, "fall": int(rules.fall), "bare": int(rules.bare),
-            "dropped_stay_open": rules.dropped_stay_open, "level": proxies.level,
-            "backlog": channel.backlog, "head": float(channel.head), "lines_per_s": channel.lines_per_s,
-            "messages_most": channel.messages_most, "messages_window": int(channel.messages_window),
-            "transit": int(channel.transit), "transit_most": int(channel.transit_most),
-            "proxies": proxies.count, "slices": 0, "standing": proxies.standing,
-            "usual_tries": proxies.usual_tries, "try_aims": proxies.try_aims,
-            "fails_to_shun": proxies.fails_to_shun, "warm_keys": False,
+            "cold_share": rules.cold_share,
+            "ramp": int(rules.ramp),
+            "grace": int(rules.grace),
+            "fall_multiple": rules.fall_multiple,
+            "fall": int(rules.fall),
+            "bare": int(rules.bare),
+            "dropped_stay_open": rules.dropped_stay_open,
+            "level": proxies.level,
+            "backlog": channel.backlog,
+            "head": float(channel.head),
+            "lines_per_s": channel.lines_per_s,
+            "messages_most": channel.messages_most,
+            "messages_window": int(channel.messages_window),
+            "transit": int(channel.transit),
+            "transit_most": int(channel.transit_most),
+            "proxies": proxies.count,
+            "slices": 0,
+            "standing": proxies.standing,
+            "usual_tries": proxies.usual_tries,
+            "try_aims": proxies.try_aims,
+            "fails_to_shun": proxies.fails_to_shun,
+            "warm_keys": False,
         }
--- a/foxstep/standins/mail.py
+++ b/foxstep/standins/mail.py
@@ -17,7 +17,8 @@
                 for b in range(len(self.ports)):
                     if a != b:
                         way = await stack.enter_async_context(
-                            await anyio.create_udp_socket(local_host="127.0.0.1"))
+                            await anyio.create_udp_socket(local_host="127.0.0.1")
+                        )
                         self.ways[a, b] = way
                         group.start_soon(self.relay, way, a, b)
             task_status.started()
--- a/foxstep/standins/server.py
+++ b/foxstep/standins/server.py
@@ -44,8 +44,15 @@
         self.waiting = self.running = 0
         self.brought, self.peers, self.silent, self.state = [], {}, None, "up"
         capacity = self.cores / (sum(self.work.values()) / len(self.work))
-        self.record("started", server=self.ident, name=self.name, zone=self.zone, cold=cold,
-                    capacity=capacity, cores=float(self.cores))
+        self.record(
+            "started",
+            server=self.ident,
+            name=self.name,
+            zone=self.zone,
+            cold=cold,
+            capacity=capacity,
+            cores=float(self.cores),
+        )
 
     async def crash(self, state="down"):
         self.state = state
@@ -75,14 +82,17 @@
     def service(self, details):
         if details.method == ORCA:
             return grpc.unary_stream_rpc_method_handler(
-                self.tell_load, orca_pb2.OrcaLoadReportRequest.FromString,
-                orca_load_report_pb2.OrcaLoadReport.SerializeToString)
+                self.tell_load,
+                orca_pb2.OrcaLoadReportRequest.FromString,
+                orca_load_report_pb2.OrcaLoadReport.SerializeToString,
+            )
         op_type = details.method.rpartition("/")[2]
         if op_type not in self.work:
             return None
 
         async def handle(request, context):
             return await self.op(op_type, request, context)
+
         return grpc.unary_unary_rpc_method_handler(handle)
 
     def went_on(self, change):
@@ -116,8 +126,9 @@
     async def op(self, op_type, request, context):
         facts, now = json.loads(request), self.clock()
         work = self.chance.lognormvariate(-0.1, 0.45) * self.work[op_type]
-        self.record("received", server=self.ident, proxy=facts["proxy"], op=facts["id"], op_type=op_type,
-                    work=work)
+        self.record(
+            "received", server=self.ident, proxy=facts["proxy"], op=facts["id"], op_type=op_type, work=work
+        )
         self.peers[context.peer()] = now
         if len(self.peers) > self.connections:
             self.peers = {p: t for p, t in self.peers.items() if t > now - 15}
--- a/foxstep/store/form.py
+++ b/foxstep/store/form.py
@@ -61,22 +61,46 @@
     kept = msgspec.msgpack.decode(body, type=KeptTables)
     changed = {}
     for proxy, table in kept.items():
-        changed[proxy] = None if table is None else Table(
-            Version.read(table.version), Map(table.lines), Version.read(table.of) if table.of else None)
+        changed[proxy] = (
+            None
+            if table is None
+            else Table(
+                Version.read(table.version), Map(table.lines), Version.read(table.of) if table.of else None
+            )
+        )
     return Entry(Version(epoch, count), at, cause, None, changed)
 
 
 def rollback_body(r):
-    return msgspec.msgpack.encode(KeptRollback(
-        r.number, r.scope, str(r.version), r.ordered_at, r.wait, r.state, r.why, r.wave_size, r.done,
-        list(r.reached), r.heir.number if r.heir else 0))
+    return msgspec.msgpack.encode(
+        KeptRollback(
+            r.number,
+            r.scope,
+            str(r.version),
+            r.ordered_at,
+            r.wait,
+            r.state,
+            r.why,
+            r.wave_size,
+            r.done,
+            list(r.reached),
+            r.heir.number if r.heir else 0,
+        )
+    )
 
 
 def read_rollback(body):
     """(Rollback, number of its heir or 0)."""
     kept = msgspec.msgpack.decode(body, type=KeptRollback)
-    made = Rollback(kept.number, kept.scope, Version.read(kept.version), kept.ordered_at, kept.wait,
-                    kept.state, kept.reached)
+    made = Rollback(
+        kept.number,
+        kept.scope,
+        Version.read(kept.version),
+        kept.ordered_at,
+        kept.wait,
+        kept.state,
+        kept.reached,
+    )
     made.why, made.wave_size, made.done, made.told = kept.why, kept.wave_size, kept.done, kept.state
     return made, kept.heir
 
--- a/foxstep/store/store.py
+++ b/foxstep/store/store.py
@@ -26,9 +26,9 @@
 CREATE TABLE IF NOT EXISTS facts (one INTEGER PRIMARY KEY CHECK (one = 1), body BLOB, sum BLOB);
 CREATE TABLE IF NOT EXISTS servers (one INTEGER PRIMARY KEY CHECK (one = 1), body BLOB, sum BLOB);
 """
-AHEAD = 1024            # writes that may wait; beyond that the history goes on with a whole entry
-WHOLE_EVERY = 64        # entries between two whole ones
-AT_ONCE = 256           # writes in one transaction
+AHEAD = 1024  # writes that may wait; beyond that the history goes on with a whole entry
+WHOLE_EVERY = 64  # entries between two whole ones
+AT_ONCE = 256  # writes in one transaction
 
 
 def first_epoch(wall):
@@ -85,8 +85,7 @@
         return base
 
     def put_aside(self, why):
-        aside = next(name for k in range(10_000)
-                     if not os.path.exists(name := f"{self.path}.unsound-{k}"))
+        aside = next(name for k in range(10_000) if not os.path.exists(name := f"{self.path}.unsound-{k}"))
         self.tell(f"{self.path}: {why}; put aside as {os.path.basename(aside)}")
         for end in ("", "-wal", "-shm"):
             if os.path.exists(self.path + end):
@@ -105,8 +104,12 @@
         row = self.base.execute("SELECT epoch FROM starts").fetchone()
         newest = self.base.execute("SELECT max(epoch) FROM entries").fetchone()[0] or 0
         epoch = epoch_after(max(row[0], newest) if row else max(first_epoch(self.wall), newest), self.me)
-        self.attempt("the count of starts", lambda: self.base.execute(
-            "INSERT INTO starts VALUES (1, ?) ON CONFLICT (one) DO UPDATE SET epoch = ?", (epoch, epoch)))
+        self.attempt(
+            "the count of starts",
+            lambda: self.base.execute(
+                "INSERT INTO starts VALUES (1, ?) ON CONFLICT (one) DO UPDATE SET epoch = ?", (epoch, epoch)
+            ),
+        )
         return epoch
 
     # -- reading
@@ -116,9 +119,15 @@
         self.facts = None
         fleet, chain = None, False
         for epoch, count, at, cause, whole, body, stored in self.base.execute(
-                "SELECT epoch, count, at, cause, whole, body, sum FROM entries ORDER BY epoch, count"):
-            entry = self.sound(f"entry {epoch}.{count}", stored, (epoch, count, at, cause, whole), body,
-                               partial(form.read_entry, epoch, count, at, cause))
+            "SELECT epoch, count, at, cause, whole, body, sum FROM entries ORDER BY epoch, count"
+        ):
+            entry = self.sound(
+                f"entry {epoch}.{count}",
+                stored,
+                (epoch, count, at, cause, whole),
+                body,
+                partial(form.read_entry, epoch, count, at, cause),
+            )
             chain = entry is not None and (chain or whole)
             if not chain:
                 continue  # what builds on an unsound entry waits for the next whole one
@@ -135,8 +144,13 @@
         for rollback in self.rollbacks:
             rollback.heir = by_number.get(heirs[rollback.number])
         for proxy, version, stored in self.base.execute("SELECT proxy, version, sum FROM holders"):
-            held = self.sound(f"holder {proxy}", stored, (proxy,), version.encode(),
-                              lambda body: Version.read(body.decode()))
+            held = self.sound(
+                f"holder {proxy}",
+                stored,
+                (proxy,),
+                version.encode(),
+                lambda body: Version.read(body.decode()),
+            )
             if held:
                 self.holders[proxy] = held
         for body, stored in self.base.execute("SELECT body, sum FROM servers"):
@@ -248,18 +262,20 @@
                 self.broken = self.broken and not whole
                 body = form.tables_body(entry.fleet if whole else entry.changed)
                 key = (entry.version.epoch, entry.version.count, entry.at, entry.cause, int(whole))
-                self.base.execute("INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?, ?, ?, ?)",
-                                  (*key, body, form.row_sum(*key, body)))
+                self.base.execute(
+                    "INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?, ?, ?, ?)",
+                    (*key, body, form.row_sum(*key, body)),
+                )
             else:
                 key = 1 if kind in ("list", "facts") else values[0]
                 newest[kind, key] = values  # the newest of a kind and key
         for (kind, key), values in newest.items():
             body = values[-1]
             data = body.encode() if isinstance(body, str) else body
-            table = {"rollback": "rollbacks", "holder": "holders", "list": "servers",
-                     "facts": "facts"}[kind]
-            self.base.execute(f"INSERT OR REPLACE INTO {table} VALUES (?, ?, ?)",
-                              (key, body, form.row_sum(key, data)))
+            table = {"rollback": "rollbacks", "holder": "holders", "list": "servers", "facts": "facts"}[kind]
+            self.base.execute(
+                f"INSERT OR REPLACE INTO {table} VALUES (?, ?, ?)", (key, body, form.row_sum(key, data))
+            )
         self.base.execute("COMMIT")
         self.since_whole = since
 
@@ -272,7 +288,8 @@
             "SELECT epoch, count FROM entries WHERE whole = 1 AND (epoch, count) <= "
             "(SELECT epoch, count FROM entries ORDER BY epoch DESC, count DESC LIMIT 1 OFFSET ?) "
             "ORDER BY epoch DESC, count DESC LIMIT 1",
-            (self.keep - 1,)).fetchone()
+            (self.keep - 1,),
+        ).fetchone()
         if cut:
             self.base.execute("DELETE FROM entries WHERE (epoch, count) < (?, ?)", cut)
             self.copy()
@@ -301,4 +318,3 @@
 
     def flush(self, seconds=0.0):
         return True
-
--- a/foxstep/tables/compose.py
+++ b/foxstep/tables/compose.py
@@ -2,7 +2,7 @@
 
 The module goes on deciding; its own table for the proxy is the ordinary one, and its word of which servers
 may be picked now (`allowed`: server -> part of its usual weight, 1 for a warm and trusted one) cuts any
-other. """
+other."""
 
 
 def compose(pinned, ordinary, allowed):
--- a/foxstep/tables/desk.py
+++ b/foxstep/tables/desk.py
@@ -16,10 +16,10 @@
 from foxstep.tables.rollback import RUNNING, Rollbacks, bound
 from foxstep.tables.version import Version
 
-HOLDERS, LEAST_HOLDERS = 8, 64   # holders remembered for each proxy that the site states, and at least
+HOLDERS, LEAST_HOLDERS = 8, 64  # holders remembered for each proxy that the site states, and at least
 
 
-ADVICE = "advice"   # the table of one that is advised; its lines are named by group and server
+ADVICE = "advice"  # the table of one that is advised; its lines are named by group and server
 
 
 class Unknown(ValueError):
@@ -35,21 +35,24 @@
         self.lag = self.transit + 2 * site["cycle"]
         self.ledger, self.rollbacks = Ledger(epoch, keep, site["me"]), Rollbacks()
         self.evidence, self.advice = Evidence(self.lag), Advice(site)
-        self.standing = {}                  # the module's word of the servers, as last told
-        self.anew = {}                      # advised ones that are to be told all, as a set in order
-        self.allowed, self.fresh = {}, {}   # as last told; proxies to be shaped anew, as a set in order
+        self.standing = {}  # the module's word of the servers, as last told
+        self.anew = {}  # advised ones that are to be told all, as a set in order
+        self.allowed, self.fresh = {}, {}  # as last told; proxies to be shaped anew, as a set in order
         self.most, self.gone = max(LEAST_HOLDERS, HOLDERS * site["proxies"]), {}
         self.on_entry = self.on_rollback = lambda _: None  # the store's doors
 
     def wait(self):
         """What a wave has for its answers: the ways there and back and all that may stand before it."""
-        return 2 * self.transit + self.site["cycle"] + round(
-            self.site["backlog"] / self.site["lines_per_s"] * 1_000_000)
+        return (
+            2 * self.transit
+            + self.site["cycle"]
+            + round(self.site["backlog"] / self.site["lines_per_s"] * 1_000_000)
+        )
 
     def restore(self, entries, rollbacks, holders):
         """What a store kept of former lives: entries with their fleets, oldest first."""
         ledger = self.ledger
-        for entry in entries[-ledger.keep:]:
+        for entry in entries[-ledger.keep :]:
             ledger.entries[entry.version] = entry
             ledger.fleet = entry.fleet
         for proxy, version in holders.items():
@@ -180,7 +183,7 @@
     # -- rollbacks
 
     def settled(self, proxy, rollback):
-        """"yes", "no", or why a proxy does not hold what a rollback ordered."""
+        """ "yes", "no", or why a proxy does not hold what a rollback ordered."""
         holder, table = self.ledger.holder(proxy), self.ledger.table(proxy)
         if proxy in self.fresh or table is None:
             return "no"
@@ -230,8 +233,11 @@
         self.check_scope(scope, zones)
         unknown = [s for s in lines if s not in self.allowed]
         if unknown or not lines:
-            raise Unknown(f"no such server may be picked now: {', '.join(unknown[:3])}" if unknown
-                          else "a table of no line")
+            raise Unknown(
+                f"no such server may be picked now: {', '.join(unknown[:3])}"
+                if unknown
+                else "a table of no line"
+            )
         if any(not 0 < weight < 1e6 for weight in lines.values()):
             raise Unknown("expected weights above 0")
         kind, _, name = scope.partition(" ")
@@ -263,8 +269,14 @@
     def bound(self, rollback, zones):
         covered = [p for p, z in zones.items() if rollback.covers(p, z)]
         longest = max((len(t.lines) for p in covered if (t := self.pinned(p, rollback.version))), default=0)
-        return bound(len(covered), longest, self.site["head"], self.site["lines_per_s"], self.transit,
-                     self.site["cycle"] // 5)
+        return bound(
+            len(covered),
+            longest,
+            self.site["head"],
+            self.site["lines_per_s"],
+            self.transit,
+            self.site["cycle"] // 5,
+        )
 
     def busy(self):
         """Whether a rollback still moves, so that the host looks again soon."""
@@ -274,10 +286,18 @@
 
     def history(self, most=20):
         judged = {s.last: verdict for s, verdict in self.evidence.judged()}
-        return [{"version": str(e.version), "at": e.at, "cause": e.cause, "changed": len(e.changed),
-                 "proxies": len(e.fleet), "judged": judged.get(e.version, ""),
-                 "kept": e.version in self.ledger.kept}
-                for e in list(self.ledger.entries.values())[-most:]]
+        return [
+            {
+                "version": str(e.version),
+                "at": e.at,
+                "cause": e.cause,
+                "changed": len(e.changed),
+                "proxies": len(e.fleet),
+                "judged": judged.get(e.version, ""),
+                "kept": e.version in self.ledger.kept,
+            }
+            for e in list(self.ledger.entries.values())[-most:]
+        ]
 
     def holders(self, zones):
         out = {}
@@ -285,24 +305,36 @@
             table = self.ledger.table(proxy)
             held = self.rollbacks.of(proxy, zones.get(proxy, ""))
             out[proxy] = {
-                "joined": holder.joined, "holds": str(holder.held) if holder.held else "",
-                "meant": str(table.version) if table else "", "hash": table.hash if table else "",
+                "joined": holder.joined,
+                "holds": str(holder.held) if holder.held else "",
+                "meant": str(table.version) if table else "",
+                "hash": table.hash if table else "",
                 "rolled_back_to": str(table.of) if table and table.of else "",
                 "pin": held.number if held else 0,
-                "in_flight": [str(v) for v, _ in holder.in_flight], "lost": holder.lost, "odd": holder.odd,
-                "refused": f"{holder.refused}: {holder.reason}" if holder.refused else ""}
+                "in_flight": [str(v) for v, _ in holder.in_flight],
+                "lost": holder.lost,
+                "odd": holder.odd,
+                "refused": f"{holder.refused}: {holder.reason}" if holder.refused else "",
+            }
         return out
 
     def progress(self, zones):
         out = []
         for r in self.rollbacks.all[-20:]:
             reached = [p for p in r.reached if p in zones]
-            out.append({
-                "number": r.number, "scope": r.scope, "version": str(r.version),
-                "state": r.state, "why": r.why, "reached": len(r.reached),
-                "covered": sum(r.covers(p, z) for p, z in zones.items()),
-                "settled": sum(self.settled(p, r) == "yes" for p in reached),
-                "failed": dict(list(r.failed.items())[:5])})
+            out.append(
+                {
+                    "number": r.number,
+                    "scope": r.scope,
+                    "version": str(r.version),
+                    "state": r.state,
+                    "why": r.why,
+                    "reached": len(r.reached),
+                    "covered": sum(r.covers(p, z) for p, z in zones.items()),
+                    "settled": sum(self.settled(p, r) == "yes" for p in reached),
+                    "failed": dict(list(r.failed.items())[:5]),
+                }
+            )
         return out
 
     def difference(self, old, new):
@@ -315,4 +347,3 @@
             if changed:
                 out[proxy] = changed
         return out
-
--- a/foxstep/tables/evidence.py
+++ b/foxstep/tables/evidence.py
@@ -5,12 +5,12 @@
 versions that together met enough tries to say something.
 """
 
-ENOUGH = 200            # tries that make a stretch of versions tell
-ERRORS_UP = 2.0         # a stretch is good up to so many times the calm aborted part,
-CALM_ERRORS = 0.03      # which counts as this much at least,
-LATENCY_UP = 1.5        # and up to so many times the calm latency
-REFUSED_PART = 0.1      # and while fewer of its tables were refused
-CALM_PART = 4           # calm is the best of so many parts of the stretches
+ENOUGH = 200  # tries that make a stretch of versions tell
+ERRORS_UP = 2.0  # a stretch is good up to so many times the calm aborted part,
+CALM_ERRORS = 0.03  # which counts as this much at least,
+LATENCY_UP = 1.5  # and up to so many times the calm latency
+REFUSED_PART = 0.1  # and while fewer of its tables were refused
+CALM_PART = 4  # calm is the best of so many parts of the stretches
 
 
 class Stretch:
@@ -34,7 +34,7 @@
 
     def __init__(self, lag, keep=256):
         self.lag, self.keep = lag, keep
-        self.stretches, self.ordered = [], []   # oldest first; (at, version) not yet told of
+        self.stretches, self.ordered = [], []  # oldest first; (at, version) not yet told of
 
     def ordered_now(self, now, version):
         self.ordered.append((now, version))
@@ -46,7 +46,7 @@
             last = self.stretches[-1] if self.stretches else None
             if last is None or last.tries >= ENOUGH:
                 self.stretches.append(Stretch(version))
-                del self.stretches[:-self.keep]
+                del self.stretches[: -self.keep]
             else:
                 last.last = version
         return self.stretches[-1] if self.stretches else None
--- a/foxstep/tables/ledger.py
+++ b/foxstep/tables/ledger.py
@@ -12,8 +12,8 @@
 
 from foxstep.tables.version import Version, epoch_after
 
-WEIGHT_UNIT = 1000     # weights are hashed, and written, as whole thousandths
-IN_FLIGHT = 64         # tables remembered as under way to one proxy
+WEIGHT_UNIT = 1000  # weights are hashed, and written, as whole thousandths
+IN_FLIGHT = 64  # tables remembered as under way to one proxy
 
 
 def thousandths(weight):
@@ -79,21 +79,21 @@
     """What one proxy is known to hold, and what is under way to it."""
 
     def __init__(self):
-        self.held = None                  # version that it accepted last, or told when it joined
+        self.held = None  # version that it accepted last, or told when it joined
         self.joined = False
         self.in_flight = deque(maxlen=IN_FLIGHT)  # (version, at), oldest first
-        self.refused = None               # version that it refused last, until it accepts a later one
+        self.refused = None  # version that it refused last, until it accepts a later one
         self.reason = ""
-        self.lost = self.odd = 0          # tables lost with a stream; answers for what was never sent
+        self.lost = self.odd = 0  # tables lost with a stream; answers for what was never sent
 
 
 class Ledger:
     def __init__(self, epoch, keep=1000, me=0):
         self.epoch, self.keep, self.me, self.count = epoch, keep, me, 0
-        self.entries = OrderedDict()      # Version -> Entry, oldest first
-        self.fleet = Map()                # proxy -> Table, the newest
+        self.entries = OrderedDict()  # Version -> Entry, oldest first
+        self.fleet = Map()  # proxy -> Table, the newest
         self.holders = {}
-        self.kept = {}                    # versions that retention leaves, as a set in order
+        self.kept = {}  # versions that retention leaves, as a set in order
 
     # -- history
 
@@ -113,9 +113,18 @@
             return None
         self.count += 1
         version = Version(self.epoch, self.count)
-        self.append(Entry(version, now, cause, None, {
-            proxy: lines if lines is None else Table(version, lines, (of or {}).get(proxy))
-            for proxy, lines in changed.items()}))
+        self.append(
+            Entry(
+                version,
+                now,
+                cause,
+                None,
+                {
+                    proxy: lines if lines is None else Table(version, lines, (of or {}).get(proxy))
+                    for proxy, lines in changed.items()
+                },
+            )
+        )
         return version
 
     def append(self, entry):
@@ -124,7 +133,7 @@
         self.entries[entry.version] = entry
         if entry.version.epoch == self.epoch:
             self.count = max(self.count, entry.version.count)
-        for version in list(self.entries)[:max(0, len(self.entries) - self.keep - len(self.kept))]:
+        for version in list(self.entries)[: max(0, len(self.entries) - self.keep - len(self.kept))]:
             if version not in self.kept:
                 del self.entries[version]
 
@@ -200,5 +209,8 @@
 
     def behind(self):
         """Joined proxies that do not hold what they are meant to, in order."""
-        return [p for p, h in self.holders.items()
-                if h.joined and p in self.fleet and h.held != self.fleet[p].version]
+        return [
+            p
+            for p, h in self.holders.items()
+            if h.joined and p in self.fleet and h.held != self.fleet[p].version
+        ]
--- a/foxstep/tables/rollback.py
+++ b/foxstep/tables/rollback.py
@@ -6,7 +6,7 @@
 
 FIRST_WAVE = 1
 GROWTH = 2
-FAILED_PART = 0.1       # of a wave that may refuse or stay silent before a rollback stops
+FAILED_PART = 0.1  # of a wave that may refuse or stay silent before a rollback stops
 RUNNING, DONE, STOPPED, REPLACED = "running", "done", "stopped", "replaced"
 
 
@@ -15,13 +15,13 @@
 
     def __init__(self, number, scope, version, ordered_at, wait, state=RUNNING, reached=()):
         self.number, self.scope, self.version = number, scope, version
-        self.ordered_at, self.wait = ordered_at, wait       # microseconds that a wave has for its answers
-        self.state, self.why, self.heir = state, "", None    # the rollback that replaced it
-        self.reached = dict.fromkeys(reached)                # proxies that are held to it, in order
+        self.ordered_at, self.wait = ordered_at, wait  # microseconds that a wave has for its answers
+        self.state, self.why, self.heir = state, "", None  # the rollback that replaced it
+        self.reached = dict.fromkeys(reached)  # proxies that are held to it, in order
         self.wave, self.wave_at, self.wave_size = [], None, FIRST_WAVE
-        self.failed = {}                                     # proxy -> why
-        self.told = None                                     # the state last handed to the store
-        self.done = state == DONE                            # it reached all: later joiners too
+        self.failed = {}  # proxy -> why
+        self.told = None  # the state last handed to the store
+        self.done = state == DONE  # it reached all: later joiners too
 
     def covers(self, proxy, zone):
         kind, _, name = self.scope.partition(" ")
@@ -69,8 +69,9 @@
     def of(self, proxy, zone):
         """The rollback that holds a proxy now, or None. One that has not reached it yet leaves it to what
         held it before."""
-        held = [r for r in self.all if self.alive(r) and r.covers(proxy, zone)
-                and (proxy in r.reached or r.done)]
+        held = [
+            r for r in self.all if self.alive(r) and r.covers(proxy, zone) and (proxy in r.reached or r.done)
+        ]
         return max(held, key=Rollback.weight, default=None)
 
     def alive(self, rollback):
@@ -111,7 +112,7 @@
         if not left:
             rollback.state, rollback.wave, rollback.done = DONE, [], True
             return []
-        rollback.wave, rollback.wave_at = left[:rollback.wave_size], now
+        rollback.wave, rollback.wave_at = left[: rollback.wave_size], now
         rollback.wave_size *= GROWTH
         rollback.reached.update(dict.fromkeys(rollback.wave))
         return rollback.wave
--- a/foxstep/tables/version.py
+++ b/foxstep/tables/version.py
@@ -25,7 +25,7 @@
         return cls(int(found[1]), int(found[2]))
 
 
-CONTROLLERS = 64        # controllers of one site that can tell their epochs apart
+CONTROLLERS = 64  # controllers of one site that can tell their epochs apart
 
 
 def epoch_after(seen, me):
--- a/foxstep/xds/delta.py
+++ b/foxstep/xds/delta.py
@@ -19,11 +19,11 @@
 class Subscription(Followed):
     def __init__(self):
         super().__init__()
-        self.names = {}          # subscribed, as a set in order; a collection by its name with "*"
-        self.held = {}           # resource name -> version, as it will be when all that was sent is taken
-        self.named = None        # the table's name as last written
-        self.whole = False       # the next response replaces all
-        self.waits = False       # refused: nothing is written before a whole table is ordered
+        self.names = {}  # subscribed, as a set in order; a collection by its name with "*"
+        self.held = {}  # resource name -> version, as it will be when all that was sent is taken
+        self.named = None  # the table's name as last written
+        self.whole = False  # the next response replaces all
+        self.waits = False  # refused: nothing is written before a whole table is ordered
 
 
 class DeltaSession:
@@ -41,7 +41,8 @@
             return None
         known = self.subscriptions.setdefault(kind, Subscription())
         if len(known.names) + len(request.resource_names_subscribe) > MOST_NAMES or (
-                len(request.initial_resource_versions) > 20 * MOST_NAMES):
+            len(request.initial_resource_versions) > 20 * MOST_NAMES
+        ):
             raise TooMany(f"over {MOST_NAMES} resource names asked for")
         answer = self.answer(known, request) if request.response_nonce else None
         if not known.nonce and request.initial_resource_versions:
@@ -100,8 +101,11 @@
             known.stamp = None
             return None
         response = discovery_pb2.DeltaDiscoveryResponse(type_url=kind)
-        whole = kind == resources.LINE and self.checks and (
-            known.whole or self.smaller_whole(found, changed, removed))
+        whole = (
+            kind == resources.LINE
+            and self.checks
+            and (known.whole or self.smaller_whole(found, changed, removed))
+        )
         for name in versions if whole else changed:
             version, message = found[name]
             response.resources.add(name=name, version=version).resource.Pack(message)
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -19,13 +19,13 @@
 from foxstep.xds.waits import within
 
 SECOND = 1_000_000
-FIRST_WORD = 10.0          # seconds within which a new stream has to say who it is
-WRITE_WITHIN = 30.0        # seconds after which a reader that takes nothing is let go
+FIRST_WORD = 10.0  # seconds within which a new stream has to say who it is
+WRITE_WITHIN = 30.0  # seconds after which a reader that takes nothing is let go
 MOST_REPORT = 4 * 1024 * 1024
-OPEN_RATE = 1_000_000      # a rate that turns nothing away
+OPEN_RATE = 1_000_000  # a rate that turns nothing away
 QUOTAS = "foxstep.quotas"  # client feature: levels reach it by quota assignments
-HOMES = "foxstep.home"     # client feature: it dials where a stream's end sends it
-HOME = "foxstep-home"      # trailing metadata that says where
+HOMES = "foxstep.home"  # client feature: it dials where a stream's end sends it
+HOME = "foxstep-home"  # trailing metadata that says where
 TABLES = "foxstep.tables"  # client feature: it checks what a change builds on and comes to
 FIRST = [resources.LINE, resources.LINES, resources.ROUTES, resources.CLUSTER]  # which carries a mark
 NODE_MOST = 64
@@ -58,8 +58,14 @@
 
     def deliver(self, holding, message):
         kinds = []
-        lines = (message.lines or message.shut or message.tables or message.emptied or message.whole
-                 or message.meant)
+        lines = (
+            message.lines
+            or message.shut
+            or message.tables
+            or message.emptied
+            or message.whole
+            or message.meant
+        )
         levels = self.levels_in_lines() and message.levels
         if message.tables and not self.quotas:
             kinds.append(resources.CLUSTER)
@@ -136,14 +142,17 @@
             weights = self.weights()[0]
             if pattern not in names or self.holding is None or not weights:
                 return None
-            return {resources.line_name(pattern, s): (str(resources.thousandths(w)),
-                                                      resources.line(s, w))
-                    for s, w in weights.items()}
+            return {
+                resources.line_name(pattern, s): (str(resources.thousandths(w)), resources.line(s, w))
+                for s, w in weights.items()
+            }
         made = self.render(kind, names)
         if kind == resources.LINES:
             made = {name: resources.levels_only(one, self.front.site_name) for name, one in made.items()}
-        return {name: (blake2b(message.SerializeToString(deterministic=True), digest_size=8).hexdigest(),
-                       message) for name, message in made.items()}
+        return {
+            name: (blake2b(message.SerializeToString(deterministic=True), digest_size=8).hexdigest(), message)
+            for name, message in made.items()
+        }
 
     def render(self, kind, names):
         front, site_name = self.front, self.front.site_name
@@ -153,8 +162,11 @@
             made = resources.routes(site_name, front.op_types, self.tries)
             return {site_name: made} if site_name in names else {}
         if kind == resources.CLUSTER:
-            return {o["name"]: resources.cluster(o["name"], self.assignment(k))
-                    for k, o in enumerate(front.op_types) if "*" in names or o["name"] in names}
+            return {
+                o["name"]: resources.cluster(o["name"], self.assignment(k))
+                for k, o in enumerate(front.op_types)
+                if "*" in names or o["name"] in names
+            }
         made = {}
         for place, op_type in enumerate(front.op_types):
             for name in (op_type["name"], resources.EVERY):
@@ -239,8 +251,11 @@
             self.stirred = anyio.Event()
 
 
-class Front(ads_pb2_grpc.AggregatedDiscoveryServiceServicer, lrs_pb2_grpc.LoadReportingServiceServicer,
-            rlqs_pb2_grpc.RateLimitQuotaServiceServicer):
+class Front(
+    ads_pb2_grpc.AggregatedDiscoveryServiceServicer,
+    lrs_pb2_grpc.LoadReportingServiceServicer,
+    rlqs_pb2_grpc.RateLimitQuotaServiceServicer,
+):
     """`op_types`: plain maps with `name` and, where stated, the gRPC `method` and `try_wait`."""
 
     def __init__(self, host, site_name, op_types):
@@ -305,8 +320,10 @@
         if first is None:
             return
         if not 0 < len(first.node.id) <= NODE_MOST:
-            await context.abort(grpc.StatusCode.INVALID_ARGUMENT,
-                                f"node.id of 1 to {NODE_MOST} bytes wanted, got {len(first.node.id)}")
+            await context.abort(
+                grpc.StatusCode.INVALID_ARGUMENT,
+                f"node.id of 1 to {NODE_MOST} bytes wanted, got {len(first.node.id)}",
+            )
         ident, stream = first.node.id, Stream(self, first.node, incremental)
         self.streams[ident] = stream
         if incremental:
@@ -360,8 +377,9 @@
         while request is not None:
             stream = self.streams.get(ident)
             if stream and request.cluster_stats:  # of joined ones only: others are another controller's
-                self.host.reader.offer(self.host.clock(), ident, zone, TRIES, (stream, request),
-                                       loads.size(request))
+                self.host.reader.offer(
+                    self.host.clock(), ident, zone, TRIES, (stream, request), loads.size(request)
+                )
             if wait := self.host.intake.pace.take(self.host.clock(), turnstile):
                 await anyio.sleep(wait / SECOND)
             request = await anext(requests, None)
@@ -371,8 +389,19 @@
         if self.streams.get(ident) is not stream:
             return
         quotas_told = ident in self.quota_streams
-        loads.read_tries(self.host.intake, came, ident, stream.zone, request, self.place_of, quotas_told,
-                         step, first, lost, self.host.latencies.note)
+        loads.read_tries(
+            self.host.intake,
+            came,
+            ident,
+            stream.zone,
+            request,
+            self.place_of,
+            quotas_told,
+            step,
+            first,
+            lost,
+            self.host.latencies.note,
+        )
         if not stream.quotas:
             for stats in request.cluster_stats:
                 self.note_rate(stream, stats)
@@ -382,7 +411,8 @@
         if stats.cluster_name in self.place_of and window > 0:
             issued = sum(s.total_issued_requests for s in stats.upstream_locality_stats)
             stream.came[self.place_of[stats.cluster_name]] = (
-                (issued + stats.total_dropped_requests) * SECOND / window)
+                (issued + stats.total_dropped_requests) * SECOND / window
+            )
 
     def read_usage(self, came, ident, told, step, first, lost):
         stream = self.streams.get(ident)
@@ -412,8 +442,14 @@
                 quotas.stirred.set()
                 stream = self.streams.get(quotas.ident)
                 if stream:
-                    self.host.reader.offer(self.host.clock(), quotas.ident, stream.zone, USAGE, report,
-                                           len(report.bucket_quota_usages))
+                    self.host.reader.offer(
+                        self.host.clock(),
+                        quotas.ident,
+                        stream.zone,
+                        USAGE,
+                        report,
+                        len(report.bucket_quota_usages),
+                    )
 
         async def read():
             turnstile = Turnstile(self.host.clock())
--- a/foxstep/xds/listing.py
+++ b/foxstep/xds/listing.py
@@ -81,8 +81,11 @@
         self.wanted.set()
 
     async def run(self):
-        options = [("grpc.keepalive_time_ms", 10_000), ("grpc.max_receive_message_length", 16 * 2**20),
-                   ("grpc.max_reconnect_backoff_ms", 1000)]
+        options = [
+            ("grpc.keepalive_time_ms", 10_000),
+            ("grpc.max_receive_message_length", 16 * 2**20),
+            ("grpc.max_reconnect_backoff_ms", 1000),
+        ]
         async with grpc.aio.insecure_channel(self.address, options=options) as channel:
             while True:
                 await self.wanted.wait()
@@ -104,14 +107,16 @@
         stub = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel)
         call = stub.StreamEndpoints()
         request = discovery_pb2.DiscoveryRequest(
-            node=self.node, resource_names=[self.cluster], type_url=resources.LINES)
+            node=self.node, resource_names=[self.cluster], type_url=resources.LINES
+        )
         try:
             limit = self.host.site["ask_within"] / SECOND / 2
             await within(limit, call.write(request))
             response = await within(limit, call.read())
             while response is not grpc.aio.EOF:
                 request = discovery_pb2.DiscoveryRequest(
-                    resource_names=[self.cluster], type_url=resources.LINES, response_nonce=response.nonce)
+                    resource_names=[self.cluster], type_url=resources.LINES, response_nonce=response.nonce
+                )
                 try:
                     lines = read_list(response, self.cluster, self.host.wall_offset)
                     request.version_info = response.version_info
--- a/foxstep/xds/loads.py
+++ b/foxstep/xds/loads.py
@@ -3,10 +3,10 @@
 Source: envoy.config.endpoint.v3.ClusterStats (LRS) and envoy.service.rate_limit_quota.v3 (RLQS).
 """
 
-LATENCY = "foxstep.latency_us"   # mean time of a good answer, where a client tells it (a named metric)
+LATENCY = "foxstep.latency_us"  # mean time of a good answer, where a client tells it (a named metric)
 PREFIX = "named_metrics."
-LONGEST_TIME = 600_000_000        # microseconds: a longer mean time, or none that is a number, is no time
-MOST_LOAD = 1_000_000             # and no server holds more than this
+LONGEST_TIME = 600_000_000  # microseconds: a longer mean time, or none that is a number, is no time
+MOST_LOAD = 1_000_000  # and no server holds more than this
 LOADS = {"waiting": "waiting", "holding": "holding", "busy": "busy", "cpu_utilization": "busy"}
 
 
@@ -41,7 +41,7 @@
     for stats in locality.load_metric_stats:
         name, times = stats.metric_name, stats.num_requests_finished_with_metric
         if name.startswith(PREFIX):
-            name = name[len(PREFIX):]
+            name = name[len(PREFIX) :]
         if name == LATENCY:
             told, latency = True, time_told(stats.total_metric_value / times) if times else None
         elif times and name in LOADS:
@@ -55,15 +55,17 @@
     return latency, told, load
 
 
-def read_tries(intake, now, ident, zone, request, op_types, quotas_told, step=1, first=0, lost=0,
-               note=None):
+def read_tries(intake, now, ident, zone, request, op_types, quotas_told, step=1, first=0, lost=0, note=None):
     """One load report of a proxy, of whose lines every `step`-th is read from `first` on. `quotas_told`: what
     came to the proxy is told by quota usage; `lost`: reports of its before this one that were not read;
     `note(op type, server, latency, acked)` hears of each line."""
     lines, usage, longest, offset, loaded = [], [], 0, 0, intake.loaded
     for stats in request.cluster_stats:
-        op_type, window, localities = stats.cluster_name, micros(stats.load_report_interval), \
-            stats.upstream_locality_stats
+        op_type, window, localities = (
+            stats.cluster_name,
+            micros(stats.load_report_interval),
+            stats.upstream_locality_stats,
+        )
         count, begin = len(localities), (first - offset) % step
         offset += count
         if op_type not in op_types:
--- a/foxstep/xds/probes.py
+++ b/foxstep/xds/probes.py
@@ -12,8 +12,12 @@
 METHOD = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
 SECOND = 1_000_000
 MOST_AT_ONCE = 64
-OUTCOMES = {grpc.StatusCode.RESOURCE_EXHAUSTED: "rejected", grpc.StatusCode.DEADLINE_EXCEEDED: "silent",
-            grpc.StatusCode.UNAVAILABLE: "unreachable", grpc.StatusCode.CANCELLED: "broken"}
+OUTCOMES = {
+    grpc.StatusCode.RESOURCE_EXHAUSTED: "rejected",
+    grpc.StatusCode.DEADLINE_EXCEEDED: "silent",
+    grpc.StatusCode.UNAVAILABLE: "unreachable",
+    grpc.StatusCode.CANCELLED: "broken",
+}
 
 
 def load_of(report):
@@ -62,9 +66,10 @@
         started, load = self.host.clock(), None
         try:
             call = self.channel(server).unary_stream(
-                METHOD, request_serializer=orca_pb2.OrcaLoadReportRequest.SerializeToString,
-                response_deserializer=orca_load_report_pb2.OrcaLoadReport.FromString)(
-                orca_pb2.OrcaLoadReportRequest(), timeout=self.within)
+                METHOD,
+                request_serializer=orca_pb2.OrcaLoadReportRequest.SerializeToString,
+                response_deserializer=orca_load_report_pb2.OrcaLoadReport.FromString,
+            )(orca_pb2.OrcaLoadReportRequest(), timeout=self.within)
             report = await call.read()
             call.cancel()
             outcome = "aborted" if report is grpc.aio.EOF else "acked"
--- a/foxstep/xds/resources.py
+++ b/foxstep/xds/resources.py
@@ -23,7 +23,7 @@
 LINE = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
 COLLECTION = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/"
 
-EVERY = "every-op-type"   # the one assignment of a proxy whose op types all share a table
+EVERY = "every-op-type"  # the one assignment of a proxy whose op types all share a table
 MILLION = 1_000_000
 # After proof that the first try never ran; after any failure. gRPC and Envoy each take the words they know.
 UNRUN = "connect-failure,refused-stream"
@@ -38,8 +38,7 @@
 
 
 def listener(site_name):
-    manager = hcm_pb2.HttpConnectionManager(
-        rds=hcm_pb2.Rds(config_source=ads(), route_config_name=site_name))
+    manager = hcm_pb2.HttpConnectionManager(rds=hcm_pb2.Rds(config_source=ads(), route_config_name=site_name))
     manager.http_filters.add(name="router").typed_config.Pack(router_pb2.Router())
     made = listener_pb2.Listener(name=site_name)
     made.api_listener.api_listener.Pack(manager)
--- a/foxstep/xds/session.py
+++ b/foxstep/xds/session.py
@@ -12,8 +12,8 @@
 
 # Make before break: clusters and their lines before the routes that name them.
 ORDER = [resources.LISTENER, resources.CLUSTER, resources.LINES, resources.ROUTES]
-MOST_NAMES = 1024           # resource names that one client may ask for, by type
-MOST_UNANSWERED = 64        # responses remembered for their answer, by type
+MOST_NAMES = 1024  # resource names that one client may ask for, by type
+MOST_UNANSWERED = 64  # responses remembered for their answer, by type
 
 
 class TooMany(ValueError):
@@ -65,8 +65,8 @@
     def __init__(self):
         super().__init__()
         self.names, self.version, self.sent_version = [], 0, None
-        self.sent = None        # the resources as last written, to write changes only
-        self.refused = False    # the client stands on an older version
+        self.sent = None  # the resources as last written, to write changes only
+        self.refused = False  # the client stands on an older version
 
 
 class Session:
@@ -134,8 +134,10 @@
             self.count += 1
             known.version += 1
             response = discovery_pb2.DiscoveryResponse(
-                version_info=f"{version or self.epoch}/{known.version}", type_url=kind,
-                nonce=known.next_nonce(self.epoch, self.count))
+                version_info=f"{version or self.epoch}/{known.version}",
+                type_url=kind,
+                nonce=known.next_nonce(self.epoch, self.count),
+            )
             for message in changed.values():
                 response.resources.add().Pack(message)
             known.was_written(version)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -12,7 +12,7 @@
 from foxstep.tables.version import Version, epoch_after
 
 CONTROLLERS = PROXIES = (0, 1, 2)
-OLD = 640                      # what every store says after its last write
+OLD = 640  # what every store says after its last write
 WHOLE = content_hash({"s": 1000})
 DEPTH, MOST_STATES = 9, 40_000
 
@@ -62,7 +62,7 @@
 
 
 def put(values, place, value):
-    return (*values[:place], value, *values[place + 1:])
+    return (*values[:place], value, *values[place + 1 :])
 
 
 def explore(make):
