--- a/foxstep/__init__.py
+++ b/foxstep/__init__.py
@@ -1,1 +1,1 @@
-"""foxstep: a central planner behind plain proxies."""
+"""foxstep: a central control service behind plain proxies."""
--- a/foxstep/__main__.py
+++ b/foxstep/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m foxstep`, installed as `foxstep`."""
+"""Entry point of `python -m foxstep`, which is also installed as the command `foxstep`."""
 
 import sys
 
 if __name__ == "__main__":
-    if sys.argv[1:] == ["node"]:  # a small program: nothing of the command line's is imported for it
+    if sys.argv[1:] == ["node"]:  # handled first, so that the node doesn't import the other commands
         from foxstep.node.program import main
 
         sys.exit(main())
