--- a/foxstep/node/messages.py
+++ b/foxstep/node/messages.py
@@ -1,7 +1,8 @@
-"""Lines of the platform's protocol to and from bytes. No I/O.
+"""Encoding and decoding of the platform's protocol, JSON messages of one line each. No I/O.
 
-What does not read as JSON at all is `Unreadable`: where the next message begins is then anybody's guess. What
-does, but cannot be meant, is `Spoilt`: the messages around it stand.
+Input that is not JSON raises `MalformedJsonError`: it is then unknown where the next message begins. JSON
+that is not a valid message raises `InvalidMessageError`: only this message is lost, those around it remain
+valid.
 """
 
 from typing import Annotated
@@ -9,130 +10,143 @@
 import msgspec
 from msgspec import Meta
 
-LONGEST = 1 << 20  # bytes of a message, by the protocol
-PARTS = 64  # parts of one message, by the protocol
-LINES_A_PART = 4000  # so that a part stays far below LONGEST
-MINUTES = 600_000.0  # a stretch longer than this, in milliseconds, tells nothing of now
-MOST = 10_000_000  # ops in one message beyond which it is no count
+MAX_MESSAGE_BYTES = 1 << 20  # set by the protocol
+MAX_PARTS = 64  # parts of one message; set by the protocol
+LINES_PER_PART = 4000  # keeps a part far below MAX_MESSAGE_BYTES
+MAX_DURATION_MS = 600_000.0  # a report over a longer time says nothing about the present
+MAX_COUNT = 10_000_000  # a higher number of ops in one message is not plausible
 
-Count = Annotated[int, Meta(ge=0, le=MOST)]
-Millis = Annotated[float, Meta(ge=0, le=MINUTES)]
-Stretch = Annotated[float, Meta(gt=0, le=MINUTES)]
-Number = Annotated[int, Meta(ge=0, le=65535)]
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+Milliseconds = Annotated[float, Meta(ge=0, le=MAX_DURATION_MS)]
+PositiveMilliseconds = Annotated[float, Meta(gt=0, le=MAX_DURATION_MS)]
+ProxyNumber = Annotated[int, Meta(ge=0, le=65535)]
 Name = Annotated[str, Meta(min_length=1, max_length=256)]
 
 
-class Line(msgspec.Struct, tag_field="@type"):
-    pass
+class IncomingMessage(msgspec.Struct, tag_field="@type"):
+    """Base of the messages from proxies and collectors; field names and tags are those on the wire."""
 
 
-class Ping(Line, tag="ping"):
-    pass
+class Ping(IncomingMessage, tag="ping"):
+    """Liveness check, answered with PONG."""
 
 
-class Collector(Line, tag="collector"):
+class Collector(IncomingMessage, tag="collector"):
+    """Handshake of a collector: it reports for the proxies of one zone."""
+
     locality: Name
 
 
-class Joined(Line, tag="joined"):
-    node: Number
+class Joined(IncomingMessage, tag="joined"):
+    """Handshake of a proxy; `w` is its expected rate, `cold` tells whether it has just started."""
+
+    node: ProxyNumber
     locality: Name
-    w: Annotated[float, Meta(ge=0, le=MOST)]
+    w: Annotated[float, Meta(ge=0, le=MAX_COUNT)]
     cold: bool
 
 
-class Applied(Line, tag="applied"):
-    node: Number
+class Applied(IncomingMessage, tag="applied"):
+    """A proxy has applied the update with the mark `nonce`, `latency` milliseconds after it was written."""
+
+    node: ProxyNumber
     nonce: Annotated[int, Meta(ge=0)]
-    latency: Millis
+    latency: Milliseconds
 
 
-class Usage(Line, tag="usage"):
-    node: Number
+class Usage(IncomingMessage, tag="usage"):
+    """Ops of one op type that a proxy received in `interval` milliseconds, and how many failed meanwhile."""
+
+    node: ProxyNumber
     route: Name
     total: Count
     errors: Count
-    interval: Stretch
+    interval: PositiveMilliseconds
+
 
+class Heard(IncomingMessage, tag="heard"):
+    """Tries that the proxies of one zone sent to a server in `interval`; times are in milliseconds."""
 
-class Heard(Line, tag="heard"):
     locality: Name
     endpoint: Name
     total: Count
     errors: Count
-    rtt: Millis
-    interval: Stretch
+    rtt: Milliseconds
+    interval: PositiveMilliseconds
     metrics: dict[str, float] | None = None
 
 
-class Unreadable(ValueError):
-    """No JSON object in a line."""
+class MalformedJsonError(ValueError):
+    """A line that is not JSON."""
 
 
-class Spoilt(ValueError):
-    """JSON, but no message that can be taken."""
+class InvalidMessageError(ValueError):
+    """A line that is JSON but not a valid message."""
 
 
-PONG, REFUSED = b'{"@type":"pong"}\n', b'{"@type":"refused"}\n'
+PONG = b'{"@type":"pong"}\n'
+REFUSED = b'{"@type":"refused"}\n'
 DECODER = msgspec.json.Decoder(Ping | Collector | Joined | Applied | Usage | Heard)
 ENCODER = msgspec.json.Encoder()
 
 
-def read(line):
-    """One line's message. Raises Unreadable or Spoilt."""
+def decode(line):
+    """Decodes the message of one line. Raises MalformedJsonError or InvalidMessageError."""
     try:
         return DECODER.decode(line)
     except msgspec.ValidationError as error:
-        found = error
+        validation_error = error
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedJsonError(str(error)) from None
     try:
-        msgspec.json.decode(line)  # the first field that is wrong ends the reading: is the rest JSON at all?
+        msgspec.json.decode(line)  # the typed decoder stops at the first invalid field: check the rest
     except (msgspec.DecodeError, UnicodeError, RecursionError) as error:
-        raise Unreadable(str(error)) from None
-    raise Spoilt(str(found))
+        raise MalformedJsonError(str(error)) from None
+    raise InvalidMessageError(str(validation_error))
+
 
+def split_into_parts(holding, message, names):
+    """The update messages for a `live.book` message, in the order in which they take effect.
 
-def parts_of(holding, message, names):
-    """The updates that a message comes to, in the order in which they hold. `holding` has taken it already:
-    it tells which op types are on which table."""
-    on = {}
-    for place, table in enumerate(holding.tables):
+    `holding` already includes the message, so it tells which table each op type uses. `names` are the op
+    types' names by index."""
+    indexes_by_table = {}
+    for index, table in enumerate(holding.tables):
         if table is not None:
-            on.setdefault(table, []).append(place)
+            indexes_by_table.setdefault(table, []).append(index)
     parts = []
 
-    def part(places, **fields):
-        some = {} if len(places) == len(names) else {"classes": [names[k] for k in places]}
-        parts.append({**some, **fields})
+    def add_part(indexes, **fields):
+        op_types = {} if len(indexes) == len(names) else {"classes": [names[k] for k in indexes]}
+        parts.append({**op_types, **fields})
 
-    for table, places in on.items():
-        lines = [(s, w) for (of, s), w in message.lines.items() if of == table]
+    for table, indexes in indexes_by_table.items():
+        lines = [(s, w) for (line_table, s), w in message.lines.items() if line_table == table]
         whole = message.whole or table in message.emptied
-        for k in range(0, max(len(lines), int(whole)), LINES_A_PART):
-            some = {"lines": lines[k : k + LINES_A_PART]}
-            part(places, **({"whole": True} if whole and not k else {}), **some)
-    alike = {}
-    for place in dict.fromkeys(place for _, place in message.levels):
-        if (level := holding.level_of(place)) is not None:
-            alike.setdefault(level, []).append(place)
-    for (level, tries), places in alike.items():
-        part(places, level=level, retry=tries)
-    every = range(len(names))
-    for field, out in (("out", True), ("back", False)):
-        if servers := [s for s, shut in message.shut.items() if shut is out]:
-            part(every, **{field: servers})
+        for k in range(0, max(len(lines), int(whole)), LINES_PER_PART):
+            part_lines = {"lines": lines[k : k + LINES_PER_PART]}
+            add_part(indexes, **({"whole": True} if whole and not k else {}), **part_lines)
+    indexes_by_level = {}
+    for index in dict.fromkeys(index for _, index in message.levels):
+        if (level := holding.level_of(index)) is not None:
+            indexes_by_level.setdefault(level, []).append(index)
+    for (level, tries), indexes in indexes_by_level.items():
+        add_part(indexes, level=level, retry=tries)
+    all_indexes = range(len(names))
+    for field, withdrawn in (("out", True), ("back", False)):
+        if servers := [s for s, shut in message.shut.items() if shut is withdrawn]:
+            add_part(all_indexes, **{field: servers})
     for number, _ in message.marks:
         if parts and "ticket" not in parts[-1]:
             parts[-1]["ticket"] = number
         else:
-            part(every, ticket=number)
+            add_part(all_indexes, ticket=number)
     return parts
 
 
 def written(holding, message, names):
-    """The bytes of a message; empty where it says nothing."""
-    parts = parts_of(holding, message, names)
+    """Encodes a `live.book` message for its proxy; empty if there is nothing to write."""
+    parts = split_into_parts(holding, message, names)
     for part in parts[:-1]:
         part["more"] = True
     return b"".join(ENCODER.encode({"@type": "update", **part}) + b"\n" for part in parts)
--- a/foxstep/node/program.py
+++ b/foxstep/node/program.py
@@ -1,6 +1,6 @@
-"""`foxstep node`: one controller on the platform, in the foreground, until SIGTERM.
+"""`foxstep node`: runs one controller of the platform in the foreground until SIGTERM.
 
-What it is told stands in the environment and in the file that ROUTER_CONFIG names; SIGHUP has it read again.
+It is configured by the file that the environment variable ROUTER_CONFIG names, which is read again on SIGHUP.
 """
 
 import asyncio
@@ -17,41 +17,50 @@
 from foxstep.live.host import Host
 from foxstep.node import config as configs
 from foxstep.node.discovery import DiscoveryClient
-from foxstep.node.notes import Notes
-from foxstep.node.probes import MAX_CONCURRENT, Prober
+from foxstep.node.peer_transport import PeerTransport
+from foxstep.node.probes import MAX_CONCURRENT_PROBES, Prober
 from foxstep.node.streams import Acceptor, listen
 from foxstep.simhost.names import PROBED, report_of
 
-RESERVED_DESCRIPTORS = MAX_CONCURRENT + 24  # for probes, discovery, notes, the loop, logs, what is closing
-LOGGED = 20  # lines of one event in the log, a second
+# For probes, discovery, the peers' socket, the event loop, logs, and connections that are closing.
+RESERVED_DESCRIPTORS = MAX_CONCURRENT_PROBES + 24
+MAX_LINES_PER_EVENT_PER_S = 20  # lines of one log event
 
 
-class Rate:
-    """Guards against a log that grows with what others send: so many lines of one event a second, and then
-    how many were left out. Harm: what was in those."""
+class LogRateLimiter:
+    """Limits the lines of each log event per second, so that what others send can't flood the log.
+
+    The next line after that second carries the number of lines that were dropped as `left_out`; their content
+    is lost."""
 
     def __init__(self):
-        self.second, self.counts = 0, {}
+        self.second = 0
+        self.counts = {}
 
     def __call__(self, logger, method, event):
         second = time.monotonic_ns() // 10**9
         if second != self.second:
             self.second, before = second, self.counts
             self.counts = {}
-            left_out = {name: n - LOGGED for name, n in before.items() if n > LOGGED}
+            left_out = {
+                name: n - MAX_LINES_PER_EVENT_PER_S
+                for name, n in before.items()
+                if n > MAX_LINES_PER_EVENT_PER_S
+            }
             if left_out:
                 event["left_out"] = left_out
         name = event["event"]
         self.counts[name] = self.counts.get(name, 0) + 1
-        if self.counts[name] > LOGGED:
+        if self.counts[name] > MAX_LINES_PER_EVENT_PER_S:
             raise structlog.DropEvent
         return event
 
 
-def log_to(stream, level):
+def configure_logging(stream, level):
+    """Writes log lines in logfmt to the stream, from this numeric level on."""
     structlog.configure(
         processors=[
-            Rate(),
+            LogRateLimiter(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="%H:%M:%S.%f", utc=True),
             structlog.processors.LogfmtRenderer(
@@ -65,44 +74,52 @@
 
 
 class Node:
+    """One controller with its connections, discovery client, probes and peers."""
+
     def __init__(self, path, config, site):
-        self.path, self.config = path, config
+        self.path = path
+        self.config = config
         self.log = structlog.get_logger("foxstep.node")
         self.host = Host(site, config.seed, clock, wall)
         self.discovery = DiscoveryClient(self.host, config.discovery)
-        self.discovery.remember(config.known)
-        known = {name: ours for name, ours in PROBED.items() if ours in site.get("reports", [])}
-        self.acceptor = Acceptor(self.host, *self.room(), lambda metrics: report_of(metrics.items(), known))
+        self.discovery.load_known(config.known)
+        reported = {name: ours for name, ours in PROBED.items() if ours in site.get("reports", [])}
+        self.acceptor = Acceptor(
+            self.host, *self.connection_limits(), lambda metrics: report_of(metrics.items(), reported)
+        )
         self.prober = Prober(self.host, self.discovery)
-        self.notes = Notes(self.host, *self.peers())
+        self.peer_transport = PeerTransport(self.host, *self.peer_addresses())
 
-    def room(self):
+    def connection_limits(self):
+        """(descriptors, bytes of memory) for the acceptor."""
         limits = self.config.limits
         return max(limits.sockets - RESERVED_DESCRIPTORS, 8), limits.memory_mb * 2**20
 
-    def peers(self):
+    def peer_addresses(self):
+        """(addresses of the controllers by number, address of all of them or None)."""
         config = self.config
         return (
-            [configs.parse_address(peer, "a peer") for peer in config.peers],
-            configs.parse_address(config.peers_all, "all peers") if config.peers_all else None,
+            [configs.parse_address(peer, "peer address") for peer in config.peers],
+            configs.parse_address(config.peers_all, "peers_all") if config.peers_all else None,
         )
 
     def reload(self):
-        """SIGHUP: what is sound takes effect at once, what is not leaves all as it was."""
+        """Handles SIGHUP: a valid configuration takes effect at once, an invalid one changes nothing."""
         try:
-            config, site = configs.read(self.path)
-        except configs.ConfigError as unsound:
-            self.log.warning("not taken", why=str(unsound))
+            config, site = configs.read_config(self.path)
+        except configs.ConfigError as error:
+            self.log.warning("not taken", why=str(error))
             return
         if site != self.host.site or config.listen != self.config.listen:
-            self.log.warning("settings and the own address change with the next start only")
+            self.log.warning("changed settings or listen address take effect only after a restart")
         self.config = config
-        self.acceptor.limit(*self.room())
-        self.notes.move(*self.peers())
-        self.discovery.move(config.discovery)
+        self.acceptor.set_limits(*self.connection_limits())
+        self.peer_transport.set_addresses(*self.peer_addresses())
+        self.discovery.set_address(config.discovery)
         self.log.info("read again", discovery=config.discovery)
 
     async def handle_signals(self, signals, scope):
+        """Reloads the configuration on SIGHUP; ends the program on SIGTERM and SIGINT."""
         async for number in signals:
             if number == signal.SIGHUP:
                 self.reload()
@@ -112,11 +129,12 @@
                 return
 
     async def run(self, listener):
+        """Serves connections of the listening socket until a signal ends the program."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals, listener:
             async with anyio.create_task_group() as group:
                 group.start_soon(self.handle_signals, signals, group.cancel_scope)
                 if self.config.peer_listen and self.host.site["peers"]:
-                    await self.listen_for_notes()
+                    await self.listen_for_peers()
                 group.start_soon(self.prober.run)
                 group.start_soon(self.discovery.run)
                 group.start_soon(self.host.run)
@@ -131,26 +149,30 @@
                     limits=str(self.config.limits),
                 )
 
-    async def listen_for_notes(self):
-        at = configs.parse_address(self.config.peer_listen, "peer_listen")
-        await asyncio.get_running_loop().create_datagram_endpoint(lambda: self.notes, local_addr=at)
+    async def listen_for_peers(self):
+        """Opens the UDP socket for the other controllers. Raises OSError."""
+        address = configs.parse_address(self.config.peer_listen, "peer_listen")
+        await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: self.peer_transport, local_addr=address
+        )
 
 
 def main():
+    """Runs the program; returns its exit status: 2 for an invalid configuration, 1 if it can't listen."""
     path = os.environ.get("ROUTER_CONFIG")
     try:
         if not path:
-            raise configs.ConfigError("ROUTER_CONFIG names no file")
-        config, site = configs.read(path)
+            raise configs.ConfigError("the environment variable ROUTER_CONFIG is not set or empty")
+        config, site = configs.read_config(path)
         config.name = os.environ.get("ROUTER_NAME", config.name)
-        log_to(sys.stderr, 20)
+        configure_logging(sys.stderr, 20)
         node = Node(path, config, site)
         listener = listen(configs.parse_address(config.listen, "listen"))
-    except configs.ConfigError as unsound:
-        print(f"foxstep: {unsound}", file=sys.stderr)
+    except configs.ConfigError as error:
+        print(f"foxstep: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"foxstep: listening on {config.listen}: {error.strerror}", file=sys.stderr)
+        print(f"foxstep: cannot listen on {config.listen}: {error.strerror}", file=sys.stderr)
         return 1
     anyio.run(node.run, listener)
     return 0
--- a/foxstep/node/streams.py
+++ b/foxstep/node/streams.py
@@ -1,6 +1,7 @@
-"""Connections at the controller's address: strangers until they say who they are, proxies, collectors.
+"""Connections of proxies and collectors to the controller's address.
 
-A task for each would cost too much: these are plain protocols. All share one buffer to read into.
+A connection is pending until its handshake, the message that says which proxy or collector it is. Connections
+are asyncio protocols that share one read buffer, because a task for each would use too much CPU.
 """
 
 import asyncio
@@ -13,58 +14,73 @@
 import structlog
 
 from foxstep.node import messages
-from foxstep.node.messages import Applied, Collector, Heard, Joined, Ping, Spoilt, Unreadable, Usage
-
-SECOND = 1_000_000
-JOIN_TIMEOUT = 1.2  # seconds in which a stranger has to say who it is
-STRANGER_MAX_BYTES = 16_384  # bytes that a stranger may say before that
-ACCEPT_BATCH = 24  # connections taken before those that stand get their turn to speak
-REST = 0.05  # seconds without accepting where descriptors lack
-NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-HIGH_WATER = 65_536  # bytes that wait for one reader; beyond, what comes is folded together
-MAX_PENDING_MARKS = 64  # marks of one stream that may be unanswered; older ones are forgotten
-READ_BUFFER_SIZE = 65_536
-PART = 1 / 16  # of the memory limit, for half-read messages of all connections together
+from foxstep.node.messages import (
+    Applied,
+    Collector,
+    Heard,
+    InvalidMessageError,
+    Joined,
+    MalformedJsonError,
+    Ping,
+    Usage,
+)
+
+SECOND = 1_000_000  # microseconds
+HANDSHAKE_TIMEOUT_S = 1.2
+HANDSHAKE_MAX_BYTES = 16_384  # of an incomplete message before the handshake
+ACCEPT_BATCH = 24  # connections accepted before the established ones are served again
+ACCEPT_PAUSE_S = 0.05  # pause while no further connection can be accepted
+OUT_OF_RESOURCES_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+HIGH_WATER_BYTES = 65_536  # unsent bytes of a connection above which further updates are folded into one
+MAX_PENDING_MARKS = 64  # unanswered marks of a connection; older ones are dropped
+READ_BUFFER_BYTES = 65_536
+PARTIAL_MEMORY_FRACTION = 1 / 16  # of the memory limit, for the incomplete messages of all connections
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One connection. It is the outlet of the proxy that joins on it."""
+    """One connection. After the handshake of a proxy it is the proxy's `Outlet`, which the host writes to."""
 
     goes_home = False
 
-    def __init__(self, acceptor, taken=None):
-        self.acceptor, self.host, self.taken = acceptor, acceptor.host, taken  # `taken`: its socket
-        self.number = next(acceptor.numbers)  # in the order of dialling
-        self.transport, self.rest = None, b""
+    def __init__(self, acceptor, sock=None):
+        self.acceptor = acceptor
+        self.host = acceptor.host
+        self.sock = sock
+        self.number = next(acceptor.numbers)  # in the order in which connections were accepted
+        self.transport = None
+        self.partial = b""  # received bytes of an incomplete message
         self.ident = self.zone = None  # the proxy's number; the zone of a proxy or a collector
-        self.timer = self.pending = None  # `pending`: (holding, message) that waits for the reader
+        self.handshake_timer = None
+        self.pending = None  # (holding, message) that waits until the peer reads
         self.paused = self.closed = False
-        self.marks = {}  # number -> (ordered at, written at), oldest first
+        self.marks = {}  # mark -> (ordered at, written at), oldest first
 
     # -- bytes
 
     def connection_made(self, transport):
         self.transport = transport
-        transport.set_write_buffer_limits(HIGH_WATER)
-        self.timer = asyncio.get_running_loop().call_later(JOIN_TIMEOUT, self.refuse, "said nothing in time")
+        transport.set_write_buffer_limits(HIGH_WATER_BYTES)
+        self.handshake_timer = asyncio.get_running_loop().call_later(
+            HANDSHAKE_TIMEOUT_S, self.refuse, "handshake timed out"
+        )
 
     def get_buffer(self, sizehint):
         return self.acceptor.buffer
 
     def buffer_updated(self, size):
         data = bytes(self.acceptor.buffer[:size])
-        data = self.rest + data if self.rest else data
-        self.acceptor.partial_bytes -= len(self.rest)
-        *lines, self.rest = data.split(b"\n")
-        self.acceptor.partial_bytes += len(self.rest)
+        data = self.partial + data if self.partial else data
+        self.acceptor.partial_bytes -= len(self.partial)
+        *lines, self.partial = data.split(b"\n")
+        self.acceptor.partial_bytes += len(self.partial)
         for line in lines:
             if self.closed:
                 return
-            self.take(line)
+            self.receive_line(line)
         if self.closed:
             return
-        if len(self.rest) > (messages.LONGEST if self.zone is not None else STRANGER_MAX_BYTES):
-            self.refuse("a message that is too long")
+        if len(self.partial) > (messages.MAX_MESSAGE_BYTES if self.zone is not None else HANDSHAKE_MAX_BYTES):
+            self.refuse("the message is too long")
         elif self.acceptor.partial_bytes > self.acceptor.max_partial_bytes:
             self.acceptor.close_largest_partial()
 
@@ -72,7 +88,7 @@
         return False
 
     def connection_lost(self, error):
-        self.ended(str(error) if error else "closed by the peer")
+        self.release(str(error) if error else "closed by the peer")
 
     def pause_writing(self):
         self.paused = True
@@ -83,77 +99,82 @@
             pending, self.pending = self.pending, None
             self.deliver(*pending)
 
-    # -- what comes in
+    # -- incoming messages
 
-    def take(self, line):
+    def receive_line(self, line):
+        """Decodes and handles one line."""
         try:
-            message = messages.read(line)
-        except Spoilt as spoilt:
+            message = messages.decode(line)
+        except InvalidMessageError as error:
             if self.zone is None:
-                self.refuse(f"not understood: {spoilt}")
+                self.refuse(f"invalid handshake: {error}")
             else:
-                self.pass_over(spoilt)
+                self.log_ignored(error)
             return
-        except Unreadable as unreadable:
-            self.refuse(f"unreadable: {unreadable}")
+        except MalformedJsonError as error:
+            self.refuse(f"malformed JSON: {error}")
             return
         if type(message) is Ping:
-            if not self.paused:  # guards against pongs that pile up for one who reads none; harm: none
+            if not self.paused:  # a peer that doesn't read gets no pongs, so that they don't accumulate
                 self.transport.write(messages.PONG)
         elif self.zone is None:
-            self.enter(message)
+            self.receive_handshake(message)
         else:
-            self.heed(message)
+            self.receive_report(message)
 
-    def pass_over(self, why):
-        self.host.log.warning("passed over", proxy=self.ident, zone=self.zone, why=str(why)[:200])
+    def log_ignored(self, reason):
+        """Logs a message that is ignored; the connection stays open."""
+        self.host.log.warning("passed over", proxy=self.ident, zone=self.zone, why=str(reason)[:200])
 
-    def enter(self, message):
-        """A stranger says who it is."""
+    def receive_handshake(self, message):
+        """Handles the first message other than a ping: it has to name the proxy or the collector's zone."""
         if type(message) not in (Collector, Joined):
-            self.refuse("not joined")
+            self.refuse("the first message is not a handshake")
         elif message.locality not in self.host.site["zones"]:
-            self.refuse("no such zone")
+            self.refuse("unknown zone")
         elif type(message) is Joined and message.node >= self.host.site["proxies"]:
-            self.refuse("no such proxy")
-        elif type(message) is Joined and self.late(message.node):
-            self.refuse("it has dialled anew since")
+            self.refuse("the proxy's number is out of range")
+        elif type(message) is Joined and self.is_superseded(message.node):
+            self.refuse("the proxy has joined on a newer connection")
         else:
             self.zone = message.locality
-            self.known()
+            self.end_handshake()
             if type(message) is Joined:
                 self.ident = message.node
                 self.host.joined(self.ident, self.zone, message.w, message.cold, self)
 
-    def late(self, node):
-        """Guards against first words that were held up on the way until the proxy had given this connection
-        up, dialled again and joined: its good stream would be ended for them. Harm: none."""
+    def is_superseded(self, node):
+        """Whether the proxy has already joined on a connection that was accepted later.
+
+        Without this check, a handshake that is delayed until its proxy has given the connection up and joined
+        on another would end the newer, working connection."""
         joined = self.host.joins.get(node)
         return joined is not None and joined.outlet.number > self.number
 
-    def unread(self):
-        """Whether it has said something that this program has not read yet."""
+    def has_unread_data(self):
+        """Whether the socket holds data that this program has not read yet."""
         try:
-            return bool(self.taken.recv(1, socket.MSG_PEEK))
+            return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:
             return False
 
-    def known(self):
-        """No stranger any more."""
-        self.acceptor.strangers.pop(self, None)
-        if self.timer:
-            self.timer.cancel()
-            self.timer = None
+    def end_handshake(self):
+        """The connection is no longer pending: cancels the handshake timeout."""
+        self.acceptor.pending_connections.pop(self, None)
+        if self.handshake_timer:
+            self.handshake_timer.cancel()
+            self.handshake_timer = None
 
-    def heed(self, message):
+    def receive_report(self, message):
+        """Handles a message after the handshake; ignores values that can't be right."""
         site, kind = self.host.site, type(message)
         if kind is Heard and self.ident is None:
             if message.endpoint not in self.host.listed_lines or message.locality not in site["zones"]:
-                self.pass_over(f"heard of {message.endpoint[:80]} in {message.locality[:80]}")
+                self.log_ignored(f"unknown server {message.endpoint[:80]} or zone {message.locality[:80]}")
             elif message.errors > message.total:
-                self.pass_over("more errors than tries")
+                self.log_ignored("more errors than tries")
             else:
-                load = message.metrics and self.acceptor.load_of(message.metrics)
+                load = message.metrics and self.acceptor.parse_load(message.metrics)
                 self.host.heard(
                     message.endpoint,
                     message.locality,
@@ -165,35 +186,39 @@
                 )
         elif kind is Usage and (self.ident is None or message.node == self.ident):
             if message.node >= site["proxies"] or message.route not in self.host.names:
-                self.pass_over(f"usage of {message.route[:80]} at {message.node}")
+                self.log_ignored(f"unknown op type {message.route[:80]} or proxy {message.node}")
             else:
-                # Ops that were let in earlier may have failed now: `errors` may be more than `total`.
+                # `errors` may exceed `total`: it includes failures of ops that were admitted earlier.
                 self.host.used(
                     message.node, message.route, message.total, message.errors, round(message.interval * 1000)
                 )
         elif kind is Applied and message.node == self.ident:
-            self.applied(message)
+            self.receive_applied(message)
         else:
-            self.pass_over(f"{kind.__name__} does not belong here")
+            self.log_ignored(f"{kind.__name__} is not allowed on this connection")
+
+    def receive_applied(self, message):
+        """Handles the answer to a mark.
 
-    def applied(self, message):
-        """An answer to a mark. Guards against spoilt ones: it was written, and took no longer than it has
-        been under way. Harm: a proxy whose clock runs fast is passed over."""
+        Ignores answers that can't be right: the mark must have been written, and the stated latency must not
+        exceed the time since then. The drawback is that answers of a proxy whose clock runs fast are
+        ignored."""
         ordered_at, written_at = self.marks.get(message.nonce, (None, None))
-        took = round(message.latency * 1000)
-        if ordered_at is None or took > self.host.clock() - written_at + SECOND // 4:
-            self.pass_over(f"an answer to mark {message.nonce} after {message.latency} ms")
+        latency_us = round(message.latency * 1000)
+        if ordered_at is None or latency_us > self.host.clock() - written_at + SECOND // 4:
+            self.log_ignored(f"invalid answer to mark {message.nonce} after {message.latency} ms")
             return
-        while next(iter(self.marks)) != message.nonce:  # an answer holds for all before it
+        while next(iter(self.marks)) != message.nonce:  # an answer includes all earlier marks
             del self.marks[next(iter(self.marks))]
         del self.marks[message.nonce]
-        self.host.took(self.ident, self, message.nonce, written_at - ordered_at + took)
+        self.host.took(self.ident, self, message.nonce, written_at - ordered_at + latency_us)
 
-    # -- what goes out
+    # -- outgoing messages
 
     def deliver(self, holding, message):
-        """Guards against a proxy that reads nothing: what more is ordered for it is folded into one message.
-        Harm: none; it would have read the older ones first."""
+        """Writes a message, or folds it into the pending one while the proxy doesn't read.
+
+        The proxy would have read the older messages first, so folding changes nothing for it."""
         if self.closed:
             return
         if self.paused:
@@ -210,114 +235,127 @@
         if data := messages.written(holding, message, self.host.names):
             self.transport.write(data)
 
-    # -- ends
+    # -- close
 
     def end(self, reason):
-        """A newer stream of the same proxy is up. Nothing that this one still says counts."""
+        """Closes the connection because the proxy has joined on a newer one; unread input is discarded."""
         self.ident = None
-        self.finish(reason, abort=True)
+        self.close(reason, abort=True)
 
     def refuse(self, reason):
-        """Ends what can't be read, or is none of ours."""
+        """Closes a connection whose input is invalid, or that can't be accepted."""
         self.acceptor.log.warning("refused", proxy=self.ident, zone=self.zone, why=reason[:200])
         if not self.closed and self.zone is None:
             self.transport.write(messages.REFUSED)
-        self.finish(reason)
+        self.close(reason)
 
-    def finish(self, reason, abort=False):
+    def close(self, reason, abort=False):
+        """Closes the transport; unsent data is discarded if there is any, or if `abort` is set."""
         transport = self.transport
-        self.ended(reason)
-        # What a peer leaves unread must not keep its descriptor.
+        self.release(reason)
+        # A peer that doesn't read its data must not keep the descriptor in use.
         if abort or transport.get_write_buffer_size():
             transport.abort()
         else:
             transport.close()
 
-    def ended(self, reason):
+    def release(self, reason):
+        """Frees what the connection holds and reports to the host that its proxy has left."""
         if self.closed:
             return
         self.closed = True
-        self.known()
+        self.end_handshake()
         self.acceptor.connections.pop(self, None)
-        self.acceptor.partial_bytes -= len(self.rest)
-        self.rest, self.pending = b"", None
+        self.acceptor.partial_bytes -= len(self.partial)
+        self.partial, self.pending = b"", None
         self.marks.clear()
         if self.ident is not None:
             self.host.left(self.ident, self, reason)
 
 
 class Acceptor:
-    """Accepts. `sockets`: descriptors for connections; `memory`: bytes that the program may take."""
-
-    def __init__(self, host, sockets, memory, load_of):
-        self.host, self.log, self.load_of = host, structlog.get_logger("foxstep.streams"), load_of
-        self.buffer = memoryview(bytearray(READ_BUFFER_SIZE))
-        self.connections, self.strangers = {}, {}  # sets in order of coming
+    """Accepts connections and limits their number and memory.
+
+    `sockets` is the maximum number of connections, `memory` the program's memory limit in bytes, and
+    `parse_load` converts a server's reported metrics into a load report."""
+
+    def __init__(self, host, sockets, memory, parse_load):
+        self.host = host
+        self.log = structlog.get_logger("foxstep.streams")
+        self.parse_load = parse_load
+        self.buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self.connections = {}  # all connections, as a set in the order of acceptance
+        self.pending_connections = {}  # those without a handshake yet, as a set in the same order
         self.numbers = count()
         self.partial_bytes = 0
-        self.limit(sockets, memory)
+        self.set_limits(sockets, memory)
 
-    def limit(self, sockets, memory):
-        self.most, self.max_partial_bytes = sockets, max(2 * messages.LONGEST, int(memory * PART))
+    def set_limits(self, sockets, memory):
+        """Changes the limits; established connections stay."""
+        self.max_connections = sockets
+        self.max_partial_bytes = max(2 * messages.MAX_MESSAGE_BYTES, int(memory * PARTIAL_MEMORY_FRACTION))
 
     def close_largest_partial(self):
-        """Guards against half messages of many that take the memory together."""
-        max(self.connections, key=lambda c: len(c.rest)).refuse("half a message that is too long")
+        """Closes the connection with the longest incomplete message, to limit the memory of all of them."""
+        max(self.connections, key=lambda c: len(c.partial)).refuse("the incomplete message is too long")
 
-    def make_room(self):
-        """Whether one more fits; the stranger that has been silent for longest goes for it. One whose words
-        are here, but not read yet, has its turn first.
+    def ensure_capacity(self):
+        """Whether one more connection can be accepted; closes the longest pending ones if needed. Pending
+        connections with unread data are kept, because their handshake may be in it.
 
-        Guards against strangers that keep proxies out. Harm: a proxy that needs longer than all those that
-        come after it to say its first word dials again."""
-        while len(self.connections) >= self.most:
-            silent = next((stranger for stranger in self.strangers if not stranger.unread()), None)
+        This keeps connections without a handshake from blocking proxies. The drawback is that a proxy
+        whose handshake takes longer than those of all later connections has to connect again."""
+        while len(self.connections) >= self.max_connections:
+            silent = next((c for c in self.pending_connections if not c.has_unread_data()), None)
             if silent is None:
                 return False
-            silent.refuse("others want in")
+            silent.refuse("closed in favour of a newer connection")
         return True
 
     async def run(self, listener):
-        """Takes connections from a listening socket, a few at a time."""
+        """Accepts connections from a listening socket in batches until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await anyio.wait_readable(listener)
             try:
-                for taken in range(ACCEPT_BATCH):
-                    if taken and len(self.connections) >= self.most:
-                        break  # nobody goes before it is known that another wants in
-                    if not self.make_room():
-                        await anyio.sleep(REST)
+                for accepted in range(ACCEPT_BATCH):
+                    if accepted and len(self.connections) >= self.max_connections:
+                        break  # close no pending connection before it is known that another one waits
+                    if not self.ensure_capacity():
+                        await anyio.sleep(ACCEPT_PAUSE_S)
                         break
-                    await self.take(loop, listener.accept()[0])
+                    await self.add_connection(loop, listener.accept()[0])
             except BlockingIOError:
-                pass  # none is left
-            except OSError as error:  # any other is of one that is gone already
-                if error.errno in NO_DESCRIPTORS:
+                pass  # no further connection waits
+            except OSError as error:  # other errors concern a connection that has already been closed
+                if error.errno in OUT_OF_RESOURCES_ERRNOS:
                     self.log.warning("no descriptors", held=len(self.connections))
-                    for stranger in [s for s in self.strangers if not s.unread()][:ACCEPT_BATCH]:
-                        stranger.refuse("others want in")
-                    await anyio.sleep(REST)
+                    for silent in [c for c in self.pending_connections if not c.has_unread_data()][
+                        :ACCEPT_BATCH
+                    ]:
+                        silent.refuse("closed in favour of a newer connection")
+                    await anyio.sleep(ACCEPT_PAUSE_S)
             await anyio.sleep(0)
 
-    async def take(self, loop, taken):
-        connection = Connection(self, taken)
+    async def add_connection(self, loop, sock):
+        """Starts the protocol on an accepted socket."""
+        connection = Connection(self, sock)
         try:
-            taken.setblocking(False)
-            taken.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.connections[connection] = self.strangers[connection] = None
-            await loop.connect_accepted_socket(lambda: connection, taken)
+            sock.setblocking(False)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.connections[connection] = self.pending_connections[connection] = None
+            await loop.connect_accepted_socket(lambda: connection, sock)
         except OSError as error:
             connection.closed = True
             self.connections.pop(connection, None)
-            self.strangers.pop(connection, None)
+            self.pending_connections.pop(connection, None)
             with suppress(OSError):
-                taken.close()
+                sock.close()
             self.log.warning("not taken", why=str(error))
 
 
 def listen(address):
-    """A listening socket at (host, port). Raises OSError."""
+    """Opens a listening socket at (host, port). Raises OSError."""
     listener = socket.create_server(
         address, family=socket.AF_INET6 if ":" in address[0] else socket.AF_INET, backlog=1024
     )
