--- a/foxstep/intake/__init__.py
+++ b/foxstep/intake/__init__.py
@@ -1,1 +1,2 @@
-"""What proxies report, on its way to the module: merged, aged, sampled, bounded; and told as rates."""
+"""Proxies' reports before they reach the decision module: merged, aged, sampled, bounded, and passed on as
+rates."""
--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -1,9 +1,10 @@
-"""Reports between fronts and module: which are read, how much of each, and what of them counts. No I/O.
+"""Reports between the fronts and the decision module: which are read, how much of each, and what counts.
 
-The fronts offer reports as they come; of each proxy the newest waits, an older one that was not read yet is
-dropped: the newer tells of now. The host has them read one at a time, between other things, zones in turn
-and in each the proxy that waits longest: a crowded zone takes nothing from a thin one. What was read goes,
-checked and bounded, into sums for the module's rounds (`sums`).
+The fronts offer reports as they arrive. Of each proxy the newest report waits, and replaces an older one that
+was not read yet, because it describes the present. The host reads waiting reports one at a time, between
+other work: zones take turns, and within a zone the proxy that has waited longest is next, so that a zone with
+many proxies takes nothing from one with few. What was read is checked, bounded and added to the sums for the
+module's rounds (`sums`). No I/O.
 """
 
 from collections import OrderedDict
@@ -12,55 +13,66 @@
 from foxstep.intake.pace import Pace
 from foxstep.intake.sums import Sums
 
-MINUTE = 60_000_000
-LONGEST = 10 * MINUTE  # a report about a longer stretch says nothing of now
-MOST = 10_000_000  # ops in one report line beyond which it is no count
-PART = 1 / 3  # of what all others tell that one proxy's word may come to,
-MANY = 8  # where at least so many report
-HELD = 120  # cycles for which a server that left a proxy's tables may still be told of
-WAITING_MOST = 20_000  # reports that wait, of all proxies; beyond, one that comes is dropped
+MINUTE_US = 60_000_000
+MAX_WINDOW_US = 10 * MINUTE_US  # a report that covers a longer time says nothing about the present
+MAX_OPS_PER_LINE = 10_000_000  # a greater number in a line is not a valid count
+MAX_SHARE_OF_OTHERS = 1 / 3  # of what all others report, that one proxy's report may count for
+MIN_REPORTING_PROXIES = 8  # from which on MAX_SHARE_OF_OTHERS applies
+HELD_CYCLES = 120  # for which a proxy may still report on a server that left its tables
+MAX_WAITING_REPORTS = 20_000  # of all proxies; a report that arrives beyond this is dropped
 
 
-class Talker:
-    """What is known of one proxy that reports."""
+class ReportingProxy:
+    """What is known of one proxy that sends reports."""
 
-    __slots__ = ("zone", "rates", "held", "since")
+    __slots__ = ("zone", "rates", "held_at", "first_seen")
 
     def __init__(self, zone, now):
-        self.zone, self.since = zone, now
-        self.rates = [0.0, 0.0]  # tries and ops a microsecond, by its newest word
-        self.held = {}  # server -> when it was last in its tables
+        self.zone = zone
+        self.first_seen = now
+        self.rates = [0.0, 0.0]  # tries and ops a microsecond, by its newest reports
+        self.held_at = {}  # server -> when it was last in the proxy's tables
 
 
 class Intake:
-    """`site`: the plain settings; `part`: of one core that reading may take. `known_server(server)`: whether
-    the list has ever named it; `holds(proxy)`: servers of its tables as written to it now, or None."""
+    """Reads, checks and bounds proxies' reports.
 
-    def __init__(self, site, known_server, holds=lambda proxy: None, part=0.4, seed=0):
-        self.cycle, self.seed, self.known_server, self.holds = site["cycle"], seed, known_server, holds
-        self.pace = Pace(self.cycle, part)
+    `site`: the plain settings. `known_server(server)`: whether the list has ever contained it.
+    `held_servers(proxy)`: the servers of the proxy's tables as last written to it, or None.
+    `cpu_share`: share of one core that reading may take.
+    """
+
+    def __init__(self, site, known_server, held_servers=lambda proxy: None, cpu_share=0.4, seed=0):
+        self.cycle = site["cycle"]
+        self.seed = seed
+        self.known_server = known_server
+        self.held_servers = held_servers
+        self.pace = Pace(self.cycle, cpu_share)
         self.sums = Sums(self.cycle, round(site["intake_per_s"] * self.cycle / 1_000_000))
         longest = max((o["op_timeout"] for o in site["op_types"]), default=0)
-        # What was begun under an earlier table is told when it has ended and its report has come.
-        self.keep = longest + HELD * self.cycle + site.get("transit_most", 0)
-        self.waiting = {}  # zone -> (proxy, kind) -> (came at, report, lines, lost), in order
-        self.zones, self.talkers, self.count = [], {}, 0
-        self.told = [0.0, 0.0]  # tries and ops a microsecond of all, by their newest words,
-        self.telling = [0, 0]  # and how many have told of any
-        self.taken, self.refused = 0, {}  # lines that were; reason -> lines that were not taken
-        # Reports dropped for newer ones, reports bounded, lines that others stood for.
-        self.overtaken = self.cut = self.skipped = 0
-        self.rounded_at = None
-        self.loaded = {}  # servers whose own report has come since the last round
+        # An op that began under an earlier table is reported once it has ended and its report has arrived.
+        self.held_retention = longest + HELD_CYCLES * self.cycle + site.get("transit_most", 0)
+        self.waiting = {}  # zone -> (proxy, kind) -> (received at, report, lines, lost), in order
+        self.zones = []
+        self.proxies = {}
+        self.read_count = 0
+        self.total_rates = [0.0, 0.0]  # tries and ops a microsecond of all proxies, by their newest reports
+        self.reporting_counts = [0, 0]  # number of proxies with tries and with ops in their newest reports
+        self.taken = 0  # lines that were accepted
+        self.refused = {}  # reason -> lines that were refused
+        # Reports replaced by newer ones, reports scaled down, lines not read because of sampling.
+        self.overtaken = self.scaled_down = self.skipped = 0
+        self.last_round_at = None
+        self.servers_with_load = {}  # servers whose own load report has arrived since the last round
 
     def refuse(self, reason, lines=1):
         self.refused[reason] = self.refused.get(reason, 0) + lines
 
-    # -- reports wait
+    # -- waiting reports
 
     def offer(self, now, proxy, zone, kind, report, lines):
-        """A report of about so many lines has come. Those of one `kind` replace each other."""
-        self.pace.offered(lines)
+        """Queues a report of about `lines` lines; it replaces the proxy's waiting one of the same `kind`."""
+        self.pace.report_arrived(lines)
         queue = self.waiting.get(zone)
         if queue is None:
             queue = self.waiting[zone] = OrderedDict()
@@ -68,168 +80,186 @@
         key = (proxy, kind)
         if key in queue:
             self.overtaken += 1
-            # It keeps its place in turn, and stands for what it replaces.
+            # It keeps the queue position of the report that it replaces, and stands for it.
             queue[key] = (now, report, lines, queue[key][3] + 1)
-        elif sum(map(len, self.waiting.values())) >= WAITING_MOST:
+        elif sum(map(len, self.waiting.values())) >= MAX_WAITING_REPORTS:
             self.refuse("too many wait", lines)
         else:
             queue[key] = (now, report, lines, 0)
 
     def next_report(self):
-        """(came at, proxy, kind, report, lines, step, first, lost): the one to be read now, of whose lines
-        every `step`-th counts from `first` on, for so many, and which stands for so many lost; or None."""
+        """Returns the report to read now, or None.
+
+        It is (received at, proxy, kind, report, lines, step, first, lost). Every `step`-th of its lines is
+        read, beginning with `first`, and counts for `step` lines; the report stands for `lost` earlier ones.
+        """
         for _ in range(len(self.zones)):
             zone = self.zones.pop(0)
             self.zones.append(zone)
             if queue := self.waiting[zone]:
-                (proxy, kind), (came, report, lines, lost) = queue.popitem(last=False)
-                # One of a few lines is read whole: there is little to save.
-                step = min(self.pace.step(), max(1, lines // 4))
-                self.count += 1
-                first = crc32(f"{self.seed} {self.count}".encode()) % step
+                (proxy, kind), (received_at, report, lines, lost) = queue.popitem(last=False)
+                # A report of a few lines is read whole, because sampling it would save little.
+                step = min(self.pace.sampling_step(), max(1, lines // 4))
+                self.read_count += 1
+                first = crc32(f"{self.seed} {self.read_count}".encode()) % step
                 self.skipped += lines - len(range(first, lines, step))
-                return came, proxy, kind, report, lines, step, first, lost
+                return received_at, proxy, kind, report, lines, step, first, lost
         return None
 
     def left(self, proxy, zone):
-        """Its streams are down."""
+        """Removes a proxy whose streams are down."""
         queue = self.waiting.get(zone, {})
         for key in [key for key in queue if key[0] == proxy]:
             del queue[key]
-        talker = self.talkers.pop(proxy, None)
-        if talker:
+        removed = self.proxies.pop(proxy, None)
+        if removed:
             for k in (0, 1):
-                self.told[k] = max(0.0, self.told[k] - talker.rates[k])
-                self.telling[k] -= talker.rates[k] > 0
-        self.sums.left(proxy)
+                self.total_rates[k] = max(0.0, self.total_rates[k] - removed.rates[k])
+                self.reporting_counts[k] -= removed.rates[k] > 0
+        self.sums.clear_last_reports(proxy)
 
-    # -- what was read
+    # -- reports that were read
 
-    def talker(self, now, proxy, zone):
-        found = self.talkers.get(proxy)
+    def reporting_proxy(self, now, proxy, zone):
+        found = self.proxies.get(proxy)
         if found is None:
-            found = self.talkers[proxy] = Talker(zone, now)
+            found = self.proxies[proxy] = ReportingProxy(zone, now)
         return found
 
-    def sound(self, counts, window):
-        if not 0 < window <= LONGEST:
+    def is_valid(self, counts, window):
+        """Whether the counts and the window (microseconds) are in range; if not, counts a refused line."""
+        if not 0 < window <= MAX_WINDOW_US:
             self.refuse("window")
-        elif any(not 0 <= n <= MOST for n in counts):
+        elif any(not 0 <= n <= MAX_OPS_PER_LINE for n in counts):
             self.refuse("count")
         else:
             return True
         return False
 
-    def tried(self, now, proxy, zone, lines, window, lost=0):
-        """What a proxy told of its tries: (server, tries, aborted, latency, load, weight) in any order.
-        `latency` is the mean of the acked ones in microseconds, or None where that is not known: then it is
-        left out of the mean, not taken as zero; `load` the server's own report or None; `weight`: for how
-        many lines this one stands. Answers the part of it that counted, 0 to 1."""
-        talker, sums, loads, total = self.talker(now, proxy, zone), {}, {}, 0
-        usual = self.servers_of(now, proxy, talker)
+    def add_tries(self, now, proxy, zone, lines, window, lost=0):
+        """Adds a proxy's report of its tries and returns the factor by which it counts, 0 to 1.
+
+        `lines`: (server, tries, aborted, latency, load, weight) in any order. `latency` is the mean of the
+        acked tries in microseconds, or None if unknown; it is then left out of the mean, not counted as zero.
+        `load`: the server's own load report or None. `weight`: the number of lines that this one stands for.
+        """
+        reporter, sums, loads, total = self.reporting_proxy(now, proxy, zone), {}, {}, 0
+        allowed = self.reportable_servers(now, proxy, reporter)
         self.taken += len(lines)
-        known, sound = self.known_server, self.sound((), window)
-        for server, tries, aborted, latency, load, weight in lines if sound else ():
+        known, valid = self.known_server, self.is_valid((), window)
+        for server, tries, aborted, latency, load, weight in lines if valid else ():
             if not known(server):
                 self.refuse("server")
-            elif usual is not None and server not in usual:
+            elif allowed is not None and server not in allowed:
                 self.refuse("not held")
-            elif not 0 <= aborted <= tries <= MOST:
+            elif not 0 <= aborted <= tries <= MAX_OPS_PER_LINE:
                 self.refuse("count")
             elif tries:
-                many = tries * weight
+                weighted_tries = tries * weight
                 timed = (tries - aborted) * weight if latency is not None else 0
                 found = sums.get(server)
                 if found is None:
-                    sums[server] = [many, aborted * weight, timed, latency * timed if timed else 0.0]
+                    sums[server] = [
+                        weighted_tries,
+                        aborted * weight,
+                        timed,
+                        latency * timed if timed else 0.0,
+                    ]
                 else:
-                    found[0] += many
+                    found[0] += weighted_tries
                     found[1] += aborted * weight
                     if timed:
                         found[2] += timed
                         found[3] += latency * timed
-                total += many
+                total += weighted_tries
                 if load:
                     loads[server] = load
         if not sums:
             return 0.0
-        factor = self.bounded(talker, 0, total / max(window, self.cycle / 4))
+        factor = self.bounding_factor(reporter, 0, total / max(window, self.cycle / 4))
         if factor < 1:
             sums = {server: [value * factor for value in values] for server, values in sums.items()}
-        return self.sums.tried(now, proxy, zone, sums, loads, window, lost)
+        return self.sums.add_tries(now, proxy, zone, sums, loads, window, lost)
 
-    def servers_of(self, now, proxy, talker):
-        """Servers that a proxy may tell of: those of its tables, and of those that it had when what it now
-        tells was begun; None: any, since what it began with is not known."""
-        held = self.holds(proxy)
+    def reportable_servers(self, now, proxy, reporter):
+        """Returns the servers on which a proxy may report, or None for any.
+
+        These are the servers of its tables, and of those it held when the ops that it now reports began. Any
+        server is allowed while it is unknown what the proxy held when it was first seen.
+        """
+        held = self.held_servers(proxy)
         if held is None:
             return None
         for server in held:
-            talker.held[server] = now
-        if now - talker.since <= self.keep:
+            reporter.held_at[server] = now
+        if now - reporter.first_seen <= self.held_retention:
             return None
-        for server in [s for s, at in talker.held.items() if now - at > self.keep]:
-            del talker.held[server]
-        return talker.held
+        for server in [s for s, at in reporter.held_at.items() if now - at > self.held_retention]:
+            del reporter.held_at[server]
+        return reporter.held_at
 
-    def used(self, now, proxy, zone, lines, window, lost=0):
-        """What came to a proxy: (op type, ops, unanswered)."""
-        talker, usage, total = self.talker(now, proxy, zone), {}, 0
+    def add_usage(self, now, proxy, zone, lines, window, lost=0):
+        """Adds a proxy's report of the ops it received: (op type, ops, unanswered)."""
+        reporter, usage, total = self.reporting_proxy(now, proxy, zone), {}, 0
         for op_type, ops, unanswered in lines:
             self.taken += 1
-            if self.sound((ops, unanswered), window):
+            if self.is_valid((ops, unanswered), window):
                 usage[op_type] = (ops, min(unanswered, ops))
                 total += ops
         if usage:
-            factor = self.bounded(talker, 1, total / max(window, self.cycle / 4))
+            factor = self.bounding_factor(reporter, 1, total / max(window, self.cycle / 4))
             if factor < 1:
                 usage = {op_type: (ops * factor, out * factor) for op_type, (ops, out) in usage.items()}
-            self.sums.used(now, proxy, usage, window, lost)
-
-    def bounded(self, talker, which, rate):
-        """By what a proxy's word is scaled. Guards against one that tells far more than there is: it counts
-        for a third of what all others tell, at most. Harm: one that truly has more is read as having that."""
-        others = max(0.0, self.told[which] - talker.rates[which])
-        telling = self.telling[which] - (talker.rates[which] > 0)
-        # By the others' own words: what was cut of them before must not cut the next one.
-        counts = min(rate, PART * others) if telling >= MANY else rate
-        self.told[which], self.telling[which] = others + rate, telling + (rate > 0)
-        talker.rates[which] = rate
-        self.cut += counts < rate
-        return counts / rate if rate > 0 else 1.0
+            self.sums.add_usage(now, proxy, usage, window, lost)
+
+    def bounding_factor(self, reporter, which, rate):
+        """Returns the factor by which a proxy's report is scaled; `which`: 0 for tries, 1 for ops.
+
+        Guards against a proxy that reports far more than there is: it counts for at most a third of what all
+        others report. Drawback: a proxy that really has more is counted as having that much.
+        """
+        others = max(0.0, self.total_rates[which] - reporter.rates[which])
+        reporting = self.reporting_counts[which] - (reporter.rates[which] > 0)
+        # Compares with the others' rates as reported: scaling one proxy down must not scale down the next.
+        counted = min(rate, MAX_SHARE_OF_OTHERS * others) if reporting >= MIN_REPORTING_PROXIES else rate
+        self.total_rates[which], self.reporting_counts[which] = others + rate, reporting + (rate > 0)
+        reporter.rates[which] = rate
+        self.scaled_down += counted < rate
+        return counted / rate if rate > 0 else 1.0
 
     # -- rounds
 
     def round(self, controller, now, evidence):
-        """Hands the module one round, and its tries to the evidence; answers how many lines it was."""
-        span = self.cycle if self.rounded_at is None else max(now - self.rounded_at, 1)
-        self.rounded_at, self.loaded = now, {}
-        self.pace.round(now, span)
-        self.sums.asked = self.pace.asked
-        self.sums.make_up(now)
+        """Passes one round to the module, and its tries to the evidence; returns its number of lines."""
+        duration = self.cycle if self.last_round_at is None else max(now - self.last_round_at, 1)
+        self.last_round_at = now
+        self.servers_with_load = {}
+        self.pace.round(now, duration)
+        self.sums.interval = self.pace.asked
+        self.sums.start_round(now)
         lines = 0
-        for verb, *told in self.sums.next_lines():
+        for verb, *fields in self.sums.next_lines():
             lines += 1
             if verb == "heard":
-                server, zone, tries, aborted, latency, window, load = told
+                server, zone, tries, aborted, latency, window, load = fields
                 controller.heard(now, server, zone, tries, aborted, latency, window, load)
                 evidence.met(now, tries, aborted, latency * (tries - aborted))
             else:
-                controller.used(now, *told)
+                controller.used(now, *fields)
         return lines
 
     def view(self):
-        """For an operator: plain values."""
+        """Returns plain values for an operator."""
         return {
             "asked_ms": self.pace.asked // 1000,
             "use": round(self.pace.use(), 3),
             "cost_us": round(self.pace.cost, 1),
-            "step": self.pace.step(),
+            "step": self.pace.sampling_step(),
             "waiting": sum(map(len, self.waiting.values())),
             "overtaken": self.overtaken,
-            "cut": self.cut,
+            "cut": self.scaled_down,
             "skipped_lines": self.skipped,
             "refused": dict(self.refused),
             "taken": self.taken,
-            "proxies": len(self.talkers),
+            "proxies": len(self.proxies),
         }
--- a/foxstep/intake/latencies.py
+++ b/foxstep/intake/latencies.py
@@ -1,61 +1,71 @@
-"""Quantiles of the times that proxies tell, by op type and server, of the last minute or so. No I/O.
+"""Quantiles of the latencies that proxies report, by op type and server, over about the last minute. No I/O.
 
-What a proxy tells is the mean of its acked ops at a server in one report: quantiles are over those means,
-each counted for as many ops. Two generations are kept, the newer one is written; both are read.
+A proxy reports the mean time of its acked ops at a server in one report. The quantiles are over these means,
+each weighted by its number of ops. There are two generations of sketches: new values go into the current one,
+and both are read.
 """
 
 from ddsketch import DDSketch
 
-ACCURACY = 0.02  # relative, of any quantile
-NOTED = 4  # a sketch costs more to add to than a line costs to read
-GENERATION = 60  # cycles of reports
-SLOWEST = 5  # servers that are named to an operator
+RELATIVE_ACCURACY = 0.02  # of any quantile
+SAMPLE_EVERY = 4  # lines; adding to a sketch costs more than reading a line
+GENERATION_CYCLES = 60
+MAX_SLOWEST_SERVERS = 5  # listed for an operator
 
 
 class Latencies:
+    """`cycle`: microseconds between two reports."""
+
     def __init__(self, cycle):
-        self.span, self.ends = GENERATION * cycle, None
-        self.turns = 0
-        self.now, self.before = {}, {}  # (op type, server) -> sketch
+        self.generation_us = GENERATION_CYCLES * cycle
+        self.generation_ends = None
+        self.line_count = 0  # modulo SAMPLE_EVERY
+        self.current, self.previous = {}, {}  # (op type, server) -> sketch
 
     def note(self, op_type, server, latency, acked):
-        """`acked` ops of which the mean took `latency` microseconds. One in so many counts, for as many."""
-        self.turns = (self.turns + 1) % NOTED
-        if self.turns:
+        """Adds `acked` ops with a mean time of `latency` microseconds.
+
+        Only every `SAMPLE_EVERY`-th call counts, with a weight of as many calls.
+        """
+        self.line_count = (self.line_count + 1) % SAMPLE_EVERY
+        if self.line_count:
             return
         key = (op_type, server)
-        sketch = self.now.get(key)
+        sketch = self.current.get(key)
         if sketch is None:
-            sketch = self.now[key] = DDSketch(ACCURACY)
-        sketch.add(latency, acked * NOTED)
+            sketch = self.current[key] = DDSketch(RELATIVE_ACCURACY)
+        sketch.add(latency, acked * SAMPLE_EVERY)
 
     def turn(self, now):
-        if self.ends is None:
-            self.ends = now + self.span
-        elif now >= self.ends:
-            self.before, self.now, self.ends = self.now, {}, now + self.span
+        """Begins a new generation of sketches if the current one has ended."""
+        if self.generation_ends is None:
+            self.generation_ends = now + self.generation_us
+        elif now >= self.generation_ends:
+            self.previous, self.current, self.generation_ends = self.current, {}, now + self.generation_us
 
     def view(self):
-        """Op type -> {"ops", "p50_ms", "p90_ms", "p99_ms", "slowest": [(server, p90 in ms)]}."""
-        whole, by_server = {}, {}
-        for known in (self.before, self.now):
-            for (op_type, server), sketch in known.items():
-                whole.setdefault(op_type, DDSketch(ACCURACY)).merge(sketch)
+        """Returns op type -> {"ops", "p50_ms", "p90_ms", "p99_ms", "slowest": [(server, p90 in ms)]}."""
+        by_op_type, by_server = {}, {}
+        for generation in (self.previous, self.current):
+            for (op_type, server), sketch in generation.items():
+                by_op_type.setdefault(op_type, DDSketch(RELATIVE_ACCURACY)).merge(sketch)
                 by_server.setdefault(op_type, {}).setdefault(server, []).append(sketch)
         out = {}
-        for op_type, sketch in whole.items():
-            # The worse of two generations: a server that has become slow shows at once.
-            slow = {
-                server: max(one.get_quantile_value(0.9) for one in both)
-                for server, both in by_server[op_type].items()
+        for op_type, sketch in by_op_type.items():
+            # The higher p90 of the two generations: a server that has become slow is listed at once.
+            p90_by_server = {
+                server: max(one.get_quantile_value(0.9) for one in sketches)
+                for server, sketches in by_server[op_type].items()
             }
-            slowest = sorted(slow.items(), key=lambda one: (-one[1], one[0]))[:SLOWEST]
+            slowest = sorted(p90_by_server.items(), key=lambda item: (-item[1], item[0]))[
+                :MAX_SLOWEST_SERVERS
+            ]
             out[op_type] = {
                 "ops": round(sketch.count),
                 **{
                     f"p{round(100 * q)}_ms": round(sketch.get_quantile_value(q) / 1000, 1)
                     for q in (0.5, 0.9, 0.99)
                 },
-                "slowest": [(s, round(took / 1000, 1)) for s, took in slowest],
+                "slowest": [(s, round(p90 / 1000, 1)) for s, p90 in slowest],
             }
         return out
--- a/foxstep/intake/pace.py
+++ b/foxstep/intake/pace.py
@@ -1,123 +1,148 @@
-"""How often proxies are asked to report, and how much of what they report is read. No I/O, no clock.
-
-What reading costs is measured by the host; the budget is a part of one core. While more comes than fits,
-lines are sampled at once, each that is read standing for so many, and after two such rounds proxies are asked
-for reports half as often: a report of twice the time costs as much to read as one. The same where rounds come
-late, since then all that a report costs is too much, whatever is read of it. When half the time between
-reports would long have fitted, they are asked for that again; each time that it then did not, it has to fit
-for twice as long.
+"""How often proxies are asked to report, and how much of their reports is read. No I/O, no clock.
+
+The host measures what reading a line costs; the budget for it is a share of one core. While more lines arrive
+than fit into the budget, they are sampled at once, and each line that is read stands for several. After two
+such rounds, proxies are asked to report half as often: a report that covers twice the time costs no more to
+read. The same is done when rounds are late, because then receiving the reports is too costly in itself,
+however few of their lines are read. Once reports at half the interval would have fitted for a long time, the
+interval is halved again. Each time that this turns out to be too much, the next attempt waits twice as long.
 """
 
-LONGEST = 8  # cycles between two reports, at most
-UP_AFTER = 2  # rounds of too much after which longer intervals are asked for,
-DOWN_AFTER = 12  # and of little after which shorter ones are
-MOST_PATIENCE = 16  # times so many, where shorter ones have turned out to be too much
-LATE = 1.25  # cycles between two rounds from which on they come late
-DOWN_BELOW = 0.6  # of the budget, by what shorter intervals would bring
-LEARN = 0.1  # part of a new measure of the cost in the known one
-USUAL_COST = 12.0  # microseconds a line, before any was measured
-MESSAGE = 32  # lines that taking a report off its stream costs, whatever is read of it
-SPREAD = 0.1  # part by which proxies' intervals differ, so that they do not all report at once
+MAX_INTERVAL_CYCLES = 8  # between two reports of a proxy
+LENGTHEN_AFTER_ROUNDS = 2  # consecutive overloaded rounds
+SHORTEN_AFTER_ROUNDS = 12  # consecutive rounds with low load, times the current patience
+MAX_PATIENCE = 16  # factor on SHORTEN_AFTER_ROUNDS, after shorter intervals were too much
+LATE_ROUND_CYCLES = 1.25  # between two rounds, above which the round is late
+SHORTEN_BELOW = 0.6  # of the budget: load that a shorter interval may come to
+COST_SMOOTHING = 0.1  # share of a new measurement in the average cost of a line
+INITIAL_LINE_COST_US = 12.0  # cost of reading a line, before any was measured
+MESSAGE_LINES = 32  # cost of receiving a report, in lines, however few of its lines are read
+INTERVAL_JITTER = 0.1  # of the interval: proxies' intervals differ, so that they don't all report at once
 
 
-AT_ONCE = 50_000  # microseconds' worth of reports that may be taken off all streams at one time
-BURST = 64  # reports that a stream may bring at one time, as after a pause,
-AHEAD = 4  # and in an interval from then on; beyond, it is left to wait on its way
+SHARED_BURST_US = 50_000  # reading time of the reports that may be taken from all streams at once
+STREAM_BURST_REPORTS = 64  # that one stream may deliver at once, such as after a pause
+STREAM_REPORTS_PER_INTERVAL = 4  # sustained rate of one stream; above it, reports are left in its buffers
 
 
-class Turnstile:
-    """How soon the next report of one stream is taken, as far as that stream goes. Guards against one that
-    sends without an end: what it costs is bounded, whatever it sends. Harm: what it sends comes late."""
+class StreamRateLimiter:
+    """Rate limit (token bucket) on receiving the reports of one stream.
+
+    Bounds the cost of a stream that sends without end. Drawback: its reports are read late.
+    """
 
     def __init__(self, now):
-        self.left, self.at = float(BURST), now
+        self.tokens = float(STREAM_BURST_REPORTS)
+        self.updated_at = now
+
+    def delay_after_report(self, now, interval):
+        """Counts a received report; returns the microseconds until the next one may be received."""
+        self.tokens = (
+            min(
+                STREAM_BURST_REPORTS,
+                self.tokens + (now - self.updated_at) / interval * STREAM_REPORTS_PER_INTERVAL,
+            )
+            - 1
+        )
+        self.updated_at = now
+        return 0 if self.tokens >= 0 else round(-self.tokens * interval / STREAM_REPORTS_PER_INTERVAL)
 
-    def wait(self, now, asked):
-        """Microseconds until the next may be taken, one having come."""
-        self.left = min(BURST, self.left + (now - self.at) / asked * AHEAD) - 1
-        self.at = now
-        return 0 if self.left >= 0 else round(-self.left * asked / AHEAD)
 
+class SharedRateLimiter:
+    """Rate limit (token bucket) on receiving the reports of all streams together.
 
-class Gate:
-    """The same for all streams together: what is taken off them costs no more than its part of a core, so
-    that a wave of old reports delays no order. Those that have to wait come in turn. Harm: the wave is read
-    the longer."""
+    Receiving costs no more than its share of a core, so that a wave of old reports delays no order. Streams
+    that have to wait are served in order. Drawback: reading the wave takes longer.
+    """
 
     def __init__(self, now):
-        self.left, self.at = 0.0, now  # microseconds of work
+        self.budget_us = 0.0  # microseconds of work
+        self.updated_at = now
 
-    def wait(self, now, part, cost):
-        """Microseconds until the next may be taken, one having come that costs so many."""
-        self.left = min(AT_ONCE, self.left + (now - self.at) * part) - cost
-        self.at = now
-        return 0 if self.left >= 0 else round(-self.left / part)
+    def delay_after_report(self, now, cpu_share, cost):
+        """Counts a received report that costs `cost` microseconds of work.
+
+        Returns the microseconds until the next one may be received.
+        """
+        self.budget_us = min(SHARED_BURST_US, self.budget_us + (now - self.updated_at) * cpu_share) - cost
+        self.updated_at = now
+        return 0 if self.budget_us >= 0 else round(-self.budget_us / cpu_share)
 
 
 class Pace:
-    """`part`: of one core that reading may take. Lines are those of reports, whatever they cost."""
+    """Chooses the interval between reports and the sampling of their lines.
+
+    `cycle`: the shortest interval, in microseconds. `cpu_share`: share of one core that reading may take.
+    """
 
-    def __init__(self, cycle, part):
-        self.cycle, self.part, self.cost = cycle, part, USUAL_COST
+    def __init__(self, cycle, cpu_share):
+        self.cycle = cycle
+        self.cpu_share = cpu_share
+        self.cost = INITIAL_LINE_COST_US
         self.asked = cycle
-        self.over = self.under = 0
-        self.patience, self.lowered = 1, False
-        self.gate = None
-        self.lines = self.steps = 0.0  # lines that came in this round; what they came to in the last
-        self.settled_at = 0  # until then what comes is still by the former interval
-
-    def offered(self, lines):
-        """A report of so many lines has come."""
-        self.lines += lines + MESSAGE
-
-    def take(self, now, turnstile):
-        """Microseconds for which a stream, of which a report was just taken, waits before the next."""
-        self.gate = self.gate or Gate(now)
-        return max(turnstile.wait(now, self.asked), self.gate.wait(now, self.part, MESSAGE * self.cost))
-
-    def read(self, lines, took):
-        """So many lines took so many microseconds to read."""
+        self.overloaded_rounds = self.low_load_rounds = 0
+        self.patience = 1
+        self.was_shortened = False  # the last change of the interval was to a shorter one
+        self.shared_limiter = None
+        # Lines that arrived in this round; load of the recent rounds as a ratio to the budget.
+        self.lines = self.load = 0.0
+        self.settled_at = 0  # until then, reports still arrive at the former interval
+
+    def report_arrived(self, lines):
+        """Counts a report with that many lines as arrived."""
+        self.lines += lines + MESSAGE_LINES
+
+    def delay_after_report(self, now, stream_limiter):
+        """Returns the microseconds for which a stream waits after a report before its next is received."""
+        self.shared_limiter = self.shared_limiter or SharedRateLimiter(now)
+        return max(
+            stream_limiter.delay_after_report(now, self.asked),
+            self.shared_limiter.delay_after_report(now, self.cpu_share, MESSAGE_LINES * self.cost),
+        )
+
+    def read(self, lines, duration):
+        """Records that reading `lines` lines took `duration` microseconds."""
         if lines >= 16:
-            self.cost += LEARN * (took / lines - self.cost)
+            self.cost += COST_SMOOTHING * (duration / lines - self.cost)
 
-    def budget(self, span):
-        """Lines that may be read in so many microseconds."""
-        return max(1.0, self.part * span / max(self.cost, 0.01))
+    def line_budget(self, duration):
+        """Returns the number of lines that may be read in `duration` microseconds."""
+        return max(1.0, self.cpu_share * duration / max(self.cost, 0.01))
 
     def use(self):
-        """What came in the last round as a part of the budget."""
-        return self.steps
-
-    def step(self):
-        """Of so many lines one is read, and stands for all: 1 while they fit."""
-        return max(1, -(-int(self.steps * 1000) // 1000)) if self.steps > 1 else 1
-
-    def round(self, now, span):
-        """Closes a round of so many microseconds; answers whether another interval is to be asked for."""
-        came, self.lines = self.lines, 0.0
-        # A round's lumps are not the pace: half of what was known stays.
-        self.steps = (self.steps + came / self.budget(span)) / 2
+        """Returns the load of the recent rounds as a ratio to the budget."""
+        return self.load
+
+    def sampling_step(self):
+        """Returns n where one line of n is read and stands for all of them: 1 while all lines fit."""
+        return max(1, -(-int(self.load * 1000) // 1000)) if self.load > 1 else 1
+
+    def round(self, now, duration):
+        """Closes a round of `duration` microseconds. Returns whether the requested interval has changed."""
+        arrived, self.lines = self.lines, 0.0
+        # Averages with the load so far, because reports don't arrive evenly over the rounds.
+        self.load = (self.load + arrived / self.line_budget(duration)) / 2
         if now < self.settled_at:
             return False
-        # Where little is reported, rounds are late for another cause, and longer intervals only blind.
-        late = span > LATE * self.cycle and self.steps > DOWN_BELOW / 2
-        self.over = self.over + 1 if self.steps > 1 or late else 0
-        self.under = self.under + 1 if 2 * self.steps < DOWN_BELOW and not late else 0
+        # At a low load, rounds are late for another reason, and longer intervals would only lose information.
+        late = duration > LATE_ROUND_CYCLES * self.cycle and self.load > SHORTEN_BELOW / 2
+        self.overloaded_rounds = self.overloaded_rounds + 1 if self.load > 1 or late else 0
+        self.low_load_rounds = self.low_load_rounds + 1 if 2 * self.load < SHORTEN_BELOW and not late else 0
         before = self.asked
-        if self.over >= UP_AFTER:
-            self.asked = min(self.asked * 2, LONGEST * self.cycle)
-            self.patience = min(self.patience * 2, MOST_PATIENCE) if self.lowered else self.patience
-            self.lowered = False
-        elif self.under >= DOWN_AFTER * self.patience and self.asked > self.cycle:
+        if self.overloaded_rounds >= LENGTHEN_AFTER_ROUNDS:
+            self.asked = min(self.asked * 2, MAX_INTERVAL_CYCLES * self.cycle)
+            self.patience = min(self.patience * 2, MAX_PATIENCE) if self.was_shortened else self.patience
+            self.was_shortened = False
+        elif self.low_load_rounds >= SHORTEN_AFTER_ROUNDS * self.patience and self.asked > self.cycle:
             self.asked = max(self.asked // 2, self.cycle)
-            self.lowered = True
+            self.was_shortened = True
         if self.asked != before:
-            self.over = self.under = 0
+            self.overloaded_rounds = self.low_load_rounds = 0
             self.settled_at = now + 2 * max(self.asked, before)
         return self.asked != before
 
-    def interval(self, chance):
-        """The interval for one proxy; `chance`: 0 to 1, its own, always the same."""
+    def proxy_interval(self, jitter):
+        """Returns the interval for one proxy; `jitter`: a number from 0 to 1 that is fixed for the proxy."""
         if self.asked <= self.cycle:
             return self.cycle
-        return round(self.asked * (1 + SPREAD * (2 * chance - 1)))
+        return round(self.asked * (1 + INTERVAL_JITTER * (2 * jitter - 1)))
--- a/foxstep/intake/sums.py
+++ b/foxstep/intake/sums.py
@@ -1,224 +1,260 @@
-"""What proxies met at servers and what came to them, summed up for the module's rounds.
+"""Sums of the tries at servers and the ops at proxies, for the decision module's rounds.
 
-A report counts for the time that it tells of, but no proxy for more time than has passed: each has an account
-of time that fills as the clock goes, to a little more than one of its intervals. So a report that is doubled,
-that comes in a burst after a pause, or that covers a long pause counts at most for the last interval; what is
-older is not read as present. One that is overdue is made up for by its proxy's last word, for some intervals.
-Where proxies are asked for long intervals, what a report counts for goes into the rounds of one interval
-evenly, in a ring of them: the module hears a flow and no lumps.
+A report counts for the time that it covers, but no proxy counts for more time than has passed. Each proxy
+has an account of time that fills as the clock advances, up to a little more than one interval. So a report
+that is duplicated, that arrives in a burst after a pause, or that covers a long pause counts for the last
+interval at most: older data is not taken for present data. In place of an overdue report, the proxy's last
+one counts again, for a few intervals. Where proxies report at long intervals, a report is spread evenly over
+the rounds of one interval, through a ring of rounds, so that the module sees a steady flow.
 
-No I/O, no clock; times are whole microseconds. What is told is whole numbers: parts are carried over to the
-next round, so that sums stay right. What waits longest is told first, and what came adds up until then.
+No I/O, no clock; times are whole microseconds. The module gets whole numbers: fractions are carried over to
+the next round, so that the sums stay exact. What waits longest is passed on first and adds up until then.
 """
 
 from collections import OrderedDict
 
-ACCOUNT = 2.0  # intervals of time that an account holds at most, and that a new one holds
-OVERDUE = 1.5  # intervals after which the last word stands in for a report that did not come,
-STALE = 4.0  # and after which it no longer does
-SHORTEST = 0.25  # of a cycle: a report that tells of less time counts as of so much
-RING = 32  # rounds ahead that a report can be spread over, at most
+ACCOUNT_INTERVALS = 2.0  # capacity of an account, and the content of a new one
+OVERDUE_INTERVALS = 1.5  # without a report, after which the last one counts in place of the missing one
+STALE_INTERVALS = 4.0  # without a report, after which the last one no longer counts
+MIN_WINDOW_CYCLES = 0.25  # a report that covers less time is counted as covering this much
+RING_ROUNDS = 32  # ahead, over which a report can be spread
 
 
 class Account:
-    """Time of one proxy's reports of one kind."""
+    """Account of time for one proxy's reports of one kind."""
 
-    __slots__ = ("credit", "at", "came", "window", "word", "least")
+    __slots__ = ("credit", "filled_at", "received_at", "window", "last_report", "min_window")
 
-    def __init__(self, now, asked, least):
-        self.credit, self.at, self.least = ACCOUNT * asked, now, least
-        self.came, self.window, self.word = now, asked, None  # its last report
+    def __init__(self, now, interval, min_window):
+        self.credit = ACCOUNT_INTERVALS * interval
+        self.filled_at = now
+        self.min_window = min_window
+        self.received_at = now
+        self.window = interval
+        self.last_report = None  # its arguments without the part, for `Sums.spread`
 
-    def fill(self, now, asked):
-        if now > self.at:
-            self.credit = min(self.credit + now - self.at, ACCOUNT * asked)
-            self.at = now
+    def fill(self, now, interval):
+        if now > self.filled_at:
+            self.credit = min(self.credit + now - self.filled_at, ACCOUNT_INTERVALS * interval)
+            self.filled_at = now
 
-    def take(self, now, asked, window, lost=0):
-        """The part of a report of so much time that counts: 0 to 1, more where it stands for so many `lost`
-        before it."""
-        self.fill(now, asked)
-        window = max(window, self.least)
+    def spend(self, now, interval, window, lost=0):
+        """Returns the factor by which a report that covers `window` counts.
+
+        0 to 1, or more if the report stands for `lost` earlier ones too.
+        """
+        self.fill(now, interval)
+        window = max(window, self.min_window)
         used = min(window * (1 + lost), self.credit)
         self.credit -= used
         return used / window
 
-    def overdue(self, now, asked):
-        """The part of its last word that stands in for what did not come, as of now."""
-        self.fill(now, asked)
-        late = now - self.came
-        if self.word is None or not OVERDUE * asked < late <= STALE * asked:
+    def spend_overdue(self, now, interval):
+        """Returns the factor by which the last report counts in place of a missing one at this time."""
+        self.fill(now, interval)
+        late = now - self.received_at
+        if self.last_report is None or not OVERDUE_INTERVALS * interval < late <= STALE_INTERVALS * interval:
             return 0.0
-        # What is left in the account may belong to a report that is only late: it keeps its interval.
-        used = max(0.0, self.credit - asked)
+        # One interval stays in the account, for a report that is only late.
+        used = max(0.0, self.credit - interval)
         self.credit -= used
-        return used / max(self.window, self.least)
+        return used / max(self.window, self.min_window)
 
 
 class Sums:
-    """`share`: lines that a round may tell; `asked`: microseconds between two reports of a proxy."""
+    """`max_lines`: that a round may pass on; `interval`: microseconds between two reports of a proxy."""
 
-    def __init__(self, cycle, share):
-        self.cycle, self.share, self.asked = cycle, max(2, share), cycle
+    def __init__(self, cycle, max_lines):
+        self.cycle = cycle
+        self.max_lines = max(2, max_lines)
+        self.interval = cycle
         self.met = OrderedDict()  # (server, zone) -> [tries, aborted, timed, total, load], oldest first
         self.came = OrderedDict()  # (proxy, op type) -> [ops, unanswered, window], oldest first
         self.accounts = {}  # (proxy, whether of tries) -> Account, while it is joined or overdue
-        self.turn, self.later = 0, [[] for _ in range(RING)]  # what later rounds add: (add, its words)
+        self.round_number = 0
+        self.ring = [[] for _ in range(RING_ROUNDS)]  # what later rounds add: (add, arguments, factor)
 
     def account(self, now, proxy, of_tries):
-        found = self.accounts.get((proxy, of_tries))
-        if found is None:
-            found = self.accounts[proxy, of_tries] = Account(now, self.asked, SHORTEST * self.cycle)
-        return found
+        account = self.accounts.get((proxy, of_tries))
+        if account is None:
+            account = self.accounts[proxy, of_tries] = Account(
+                now, self.interval, MIN_WINDOW_CYCLES * self.cycle
+            )
+        return account
+
+    # -- reports
 
-    # -- what comes in
+    def add_tries(self, now, proxy, zone, lines, loads, window, lost=0):
+        """Adds a proxy's report of its tries and returns the factor by which it counts.
 
-    def tried(self, now, proxy, zone, lines, loads, window, lost=0):
-        """A proxy's report of its tries: `lines`: server -> [tries, aborted, acked ones whose time is known,
-        their total time], `loads`: server -> load report among the answers; `lost`: reports of its
-        before this that were not read."""
+        `lines`: server -> [tries, aborted, acked tries with a known time, their total time].
+        `loads`: server -> its own load report. `lost`: number of the proxy's earlier reports that were not
+        read.
+        """
         account = self.account(now, proxy, True)
-        part = account.take(now, self.asked, window, lost)
-        account.came, account.window, account.word = now, window, (zone, lines)
-        self.spread(self.add, (zone, lines), part)
+        factor = account.spend(now, self.interval, window, lost)
+        account.received_at, account.window, account.last_report = now, window, (zone, lines)
+        self.spread(self.accumulate_tries, (zone, lines), factor)
         for server, load in loads.items():
             sums = self.met.get((server, zone))
             if sums is not None:
                 sums[4] = {**(sums[4] or {}), **load}
-        return part
+        return factor
 
-    def add(self, zone, lines, part):
-        if not part:
+    def accumulate_tries(self, zone, lines, factor):
+        if not factor:
             return
         met = self.met
         for server, (tries, aborted, timed, total) in lines.items():
             sums = met.get((server, zone))
             if sums is None:
-                met[server, zone] = [tries * part, aborted * part, timed * part, total * part, None]
+                met[server, zone] = [tries * factor, aborted * factor, timed * factor, total * factor, None]
             else:
-                sums[0] += tries * part
-                sums[1] += aborted * part
-                sums[2] += timed * part
-                sums[3] += total * part
+                sums[0] += tries * factor
+                sums[1] += aborted * factor
+                sums[2] += timed * factor
+                sums[3] += total * factor
 
-    def used(self, now, proxy, usage, window, lost=0):
-        """A proxy's report of what came to it: op type -> (ops, unanswered)."""
+    def add_usage(self, now, proxy, usage, window, lost=0):
+        """Adds a proxy's report of the ops it received: op type -> (ops, unanswered)."""
         account = self.account(now, proxy, False)
-        part = account.take(now, self.asked, window, lost)
-        account.came, account.window, account.word = now, window, usage
-        self.spread(self.add_usage, (proxy, usage, window), part)
-
-    def spread(self, add, words, part):
-        """Adds a part now, or evenly over the rounds of an interval."""
-        rounds = min(max(1, round(self.asked / self.cycle)), RING - 2)
-        add(*words, part / rounds)
-        for k in range(1, rounds if part else 1):
-            self.later[(self.turn + 1 + k) % RING].append((add, words, part / rounds))
-
-    def add_usage(self, proxy, usage, window, part):
-        if not part:
+        factor = account.spend(now, self.interval, window, lost)
+        account.received_at, account.window, account.last_report = now, window, usage
+        self.spread(self.accumulate_usage, (proxy, usage, window), factor)
+
+    def spread(self, add, arguments, factor):
+        """Adds a report times `factor`, at once or evenly over the rounds of an interval."""
+        rounds = min(max(1, round(self.interval / self.cycle)), RING_ROUNDS - 2)
+        add(*arguments, factor / rounds)
+        for k in range(1, rounds if factor else 1):
+            self.ring[(self.round_number + 1 + k) % RING_ROUNDS].append((add, arguments, factor / rounds))
+
+    def accumulate_usage(self, proxy, usage, window, factor):
+        if not factor:
             return
         for op_type, (ops, unanswered) in usage.items():
             sums = self.came.get((proxy, op_type))
             if sums is None:
                 if not ops:
-                    continue  # nothing to tell, and nothing waits
+                    continue  # nothing to pass on, and nothing waits
                 sums = self.came[proxy, op_type] = [0.0, 0.0, 0.0]
-            sums[0] += ops * part
-            sums[1] += unanswered * part
-            sums[2] += window * part
+            sums[0] += ops * factor
+            sums[1] += unanswered * factor
+            sums[2] += window * factor
 
-    def left(self, proxy):
-        """Its streams are down: its last word no longer stands in for what does not come. Its account stays
-        for as long as it is not full: who breaks streams gets no more time by it."""
+    def clear_last_reports(self, proxy):
+        """The proxy's streams are down: its last reports no longer count in place of missing ones.
+
+        Its accounts remain until they are full, so that breaking streams gains a proxy no time.
+        """
         for of_tries in (True, False):
             account = self.accounts.get((proxy, of_tries))
             if account:
-                account.word = None
-
-    def make_up(self, now):
-        """Begins a round: adds what was spread into it, lets last words stand in for what is overdue, forgets
-        accounts that hold nothing."""
-        self.turn, gone = self.turn + 1, []
-        place = self.turn % RING
-        due, self.later[place] = self.later[place], []
-        for add, words, part in due:
-            add(*words, part)
+                account.last_report = None
+
+    def start_round(self, now):
+        """Begins a round.
+
+        Adds what was spread into it, counts last reports in place of overdue ones, and removes accounts that
+        are full again and unused.
+        """
+        self.round_number, unused = self.round_number + 1, []
+        index = self.round_number % RING_ROUNDS
+        due, self.ring[index] = self.ring[index], []
+        for add, arguments, factor in due:
+            add(*arguments, factor)
         for (proxy, of_tries), account in self.accounts.items():
-            if account.word is None:
-                account.fill(now, self.asked)
-                if now - account.came > STALE * self.asked and account.credit >= ACCOUNT * self.asked:
-                    gone.append((proxy, of_tries))
+            if account.last_report is None:
+                account.fill(now, self.interval)
+                if (
+                    now - account.received_at > STALE_INTERVALS * self.interval
+                    and account.credit >= ACCOUNT_INTERVALS * self.interval
+                ):
+                    unused.append((proxy, of_tries))
                 continue
-            if now - account.came <= OVERDUE * self.asked:
+            if now - account.received_at <= OVERDUE_INTERVALS * self.interval:
                 continue
-            part = account.overdue(now, self.asked)
-            if not part:
-                account.word = None if now - account.came > STALE * self.asked else account.word
+            factor = account.spend_overdue(now, self.interval)
+            if not factor:
+                account.last_report = (
+                    None
+                    if now - account.received_at > STALE_INTERVALS * self.interval
+                    else account.last_report
+                )
             elif of_tries:
-                self.spread(self.add, account.word, part)
+                self.spread(self.accumulate_tries, account.last_report, factor)
             else:
-                self.spread(self.add_usage, (proxy, account.word, account.window), part)
-        for key in gone:
+                self.spread(self.accumulate_usage, (proxy, account.last_report, account.window), factor)
+        for key in unused:
             del self.accounts[key]
 
-    # -- what is told
+    # -- lines for the module
 
-    def parts(self):
-        """Lines of a round for servers and for proxies: each its part by how many wait, neither nothing."""
-        met, came = len(self.met), len(self.came)
-        if met + came <= self.share:
-            return met, came
-        for_met = min(max(round(self.share * met / (met + came)), 1), self.share - 1)
-        return for_met, self.share - for_met
+    def line_shares(self):
+        """Returns the lines of a round for servers and for proxies: in proportion to how many wait, at least
+        one each."""
+        servers, proxies = len(self.met), len(self.came)
+        if servers + proxies <= self.max_lines:
+            return servers, proxies
+        for_servers = min(max(round(self.max_lines * servers / (servers + proxies)), 1), self.max_lines - 1)
+        return for_servers, self.max_lines - for_servers
 
     def next_lines(self):
-        """One round: ("heard", server, zone, tries, aborted, latency, window, load) and ("used", proxy, op
-        type, ops, unanswered, window)."""
-        for_met, for_came = self.parts()
-        told = 0
-        for key in list(self.met)[:for_met]:
-            line = self.heard(key)
+        """Yields the lines of one round.
+
+        They are ("heard", server, zone, tries, aborted, latency, window, load) and ("used", proxy, op type,
+        ops, unanswered, window).
+        """
+        for_servers, for_proxies = self.line_shares()
+        count = 0
+        for key in list(self.met)[:for_servers]:
+            line = self.server_line(key)
             if line:
-                told += 1
+                count += 1
                 yield line
-        for key in list(self.came)[: max(for_came, self.share - told)]:
-            line = self.usage(key)
+        for key in list(self.came)[: max(for_proxies, self.max_lines - count)]:
+            line = self.proxy_line(key)
             if line:
                 yield line
 
-    def heard(self, key):
+    def server_line(self, key):
         tries, aborted, timed, total, load = sums = self.met[key]
-        whole = int(tries + 1e-9)
-        if not whole:
-            self.met.move_to_end(key)  # a part of one: it waits for more
+        whole_tries = int(tries + 1e-9)
+        if not whole_tries:
+            self.met.move_to_end(key)  # less than one try: it waits for more
             if tries < 1e-6:
                 del self.met[key]
             return None
-        out = min(int(aborted + 1e-9), whole)
+        whole_aborted = min(int(aborted + 1e-9), whole_tries)
         latency = round(total / timed) if timed > 1e-9 else 0
-        left = 1 - whole / tries
-        if left * tries < 1e-6:
+        remainder = 1 - whole_tries / tries
+        if remainder * tries < 1e-6:
             del self.met[key]
-        else:  # of times the part that goes with what is left
-            sums[:] = [tries - whole, max(0.0, aborted - out), timed * left, total * left, None]
+        else:  # the times are split in proportion to the tries that remain
+            sums[:] = [
+                tries - whole_tries,
+                max(0.0, aborted - whole_aborted),
+                timed * remainder,
+                total * remainder,
+                None,
+            ]
             self.met.move_to_end(key)
-        return ("heard", key[0], key[1], whole, out, latency, self.cycle, load)
+        return ("heard", key[0], key[1], whole_tries, whole_aborted, latency, self.cycle, load)
 
-    def usage(self, key):
+    def proxy_line(self, key):
         ops, unanswered, window = sums = self.came[key]
-        whole = int(ops + 1e-9)
-        if ops - whole < 1e-6:
+        whole_ops = int(ops + 1e-9)
+        if ops - whole_ops < 1e-6:
             del self.came[key]
             return (
-                ("used", key[0], key[1], whole, min(round(unanswered), whole), round(window))
-                if (whole or window >= self.cycle)
+                ("used", key[0], key[1], whole_ops, min(round(unanswered), whole_ops), round(window))
+                if (whole_ops or window >= self.cycle)
                 else None
             )
-        out = min(int(unanswered + 1e-9), whole)
+        whole_unanswered = min(int(unanswered + 1e-9), whole_ops)
         self.came.move_to_end(key)
-        if not whole:
+        if not whole_ops:
             return None
-        left = 1 - whole / ops
-        sums[:] = [ops - whole, max(0.0, unanswered - out), window * left]
-        return ("used", key[0], key[1], whole, out, round(window * (1 - left)))
+        remainder = 1 - whole_ops / ops
+        sums[:] = [ops - whole_ops, max(0.0, unanswered - whole_unanswered), window * remainder]
+        return ("used", key[0], key[1], whole_ops, whole_unanswered, round(window * (1 - remainder)))
--- a/foxstep/xds/__init__.py
+++ b/foxstep/xds/__init__.py
@@ -1,4 +1,6 @@
-"""The first front, by the public xDS specification: assignments, load reports, quotas, probes, the list.
+"""The xDS front: assignments, load reports, quotas, server probes and the server list, by the public
+specifications.
 
-Messages from `xds-protos`, transport from `grpcio`. Protocol words stay in here; the host knows none of them.
+Messages come from `xds-protos`, the transport from `grpcio`. Terms of the protocols stay in this package; the
+host knows none of them.
 """
--- a/foxstep/xds/delta.py
+++ b/foxstep/xds/delta.py
@@ -1,129 +1,157 @@
-"""One incremental discovery stream: what changed of what the client holds, checked by hash. No I/O.
+"""One incremental discovery stream: sends what changed against what the client holds. No I/O.
 
-Each line of a table is a resource of its own (LEDS: an LbEndpoint in a collection), its version its weight.
-What a client tells that it holds (`initial_resource_versions`) is all that a rejoin needs for the smallest
-change. For lines, `system_version_info` says "NAME BASE RESULT": the table's name and the content hash that
-the change builds on and comes to; BASE "-" replaces all. Source: the xDS transport protocol, incremental
-variant; LEDS.
+Each line of a table is a resource of its own (LEDS: an LbEndpoint in a collection) whose version is its
+weight. After a reconnect the client states what it holds (`initial_resource_versions`), which is enough to
+send the smallest change. For lines, `system_version_info` is "NAME BASE RESULT": the table's name, the
+content hash that the change applies to, and the content hash that it results in. BASE "-" replaces all lines.
+Source: the xDS transport protocol, incremental variant; LEDS.
 """
 
 from envoy.service.discovery.v3 import discovery_pb2
 
 from foxstep.tables.ledger import content_hash
 from foxstep.xds import resources
-from foxstep.xds.session import MOST_NAMES, Followed, TooMany, taken
+from foxstep.xds.session import MAX_RESOURCE_NAMES, BaseSubscription, TooManyNames, pop_answered
 
-ORDER = [resources.LISTENER, resources.CLUSTER, resources.LINES, resources.LINE, resources.ROUTES]
+ORDER = [
+    resources.LISTENER_TYPE,
+    resources.CLUSTER_TYPE,
+    resources.LINES,
+    resources.LINE,
+    resources.ROUTES_TYPE,
+]
 
 
-class Subscription(Followed):
+class Subscription(BaseSubscription):
+    """A subscription of the incremental variant."""
+
     def __init__(self):
         super().__init__()
-        self.names = {}  # subscribed, as a set in order; a collection by its name with "*"
-        self.held = {}  # resource name -> version, as it will be when all that was sent is taken
-        self.named = None  # the table's name as last written
-        self.whole = False  # the next response replaces all
-        self.waits = False  # refused: nothing is written before a whole table is ordered
+        self.names = {}  # subscribed names, as an ordered set; a collection by its name with "*"
+        self.held = {}  # resource name -> version, as it will be once all that was sent is accepted
+        self.table_name = None  # as last written
+        self.replace_all = False  # the next response replaces all lines
+        self.awaits_table = False  # after a NACK: nothing is written before a whole table is ordered
 
 
 class DeltaSession:
-    """`render(type_url, names)` answers {name: (version, message)}, `weights()` what the client is to hold
-    (server -> weight) and its table's name, for the hashes. `checks`: the client knows bases and results."""
+    """One client's incremental subscriptions.
+
+    `render(type_url, names)` returns {name: (version, message)}. `weights()` returns what the client is to
+    hold (server -> weight) and the name of its table, for the hashes. `checks_hashes`: the client verifies
+    the base and result hashes of a change.
+    """
 
-    def __init__(self, render, weights, epoch, checks):
-        self.render, self.weights, self.epoch, self.checks = render, weights, epoch, checks
-        self.count, self.subscriptions = 0, {}
+    def __init__(self, render, weights, epoch, checks_hashes):
+        self.render = render
+        self.weights = weights
+        self.epoch = epoch
+        self.checks_hashes = checks_hashes
+        self.response_count = 0
+        self.subscriptions = {}
 
     def ask(self, request):
-        """Takes a DeltaDiscoveryRequest in; answers as `Session.ask`."""
-        kind = request.type_url
-        if kind not in ORDER:
+        """Handles a DeltaDiscoveryRequest; returns and raises as `Session.ask` does."""
+        type_url = request.type_url
+        if type_url not in ORDER:
             return None
-        known = self.subscriptions.setdefault(kind, Subscription())
-        if len(known.names) + len(request.resource_names_subscribe) > MOST_NAMES or (
-            len(request.initial_resource_versions) > 20 * MOST_NAMES
+        subscription = self.subscriptions.setdefault(type_url, Subscription())
+        if len(subscription.names) + len(request.resource_names_subscribe) > MAX_RESOURCE_NAMES or (
+            len(request.initial_resource_versions) > 20 * MAX_RESOURCE_NAMES
         ):
-            raise TooMany(f"over {MOST_NAMES} resource names asked for")
-        answer = self.answer(known, request) if request.response_nonce else None
-        if not known.nonce and request.initial_resource_versions:
-            known.held = dict(request.initial_resource_versions)
+            raise TooManyNames(f"over {MAX_RESOURCE_NAMES} resource names requested")
+        answer = self.handle_answer(subscription, request) if request.response_nonce else None
+        if not subscription.nonce and request.initial_resource_versions:
+            subscription.held = dict(request.initial_resource_versions)
         for name in request.resource_names_unsubscribe:
-            known.names.pop(name, None)
-        new = [name for name in request.resource_names_subscribe if name not in known.names]
+            subscription.names.pop(name, None)
+        new = [name for name in request.resource_names_subscribe if name not in subscription.names]
         if new:
-            known.names.update(dict.fromkeys(new))
-            known.due = True
+            subscription.names.update(dict.fromkeys(new))
+            subscription.due = True
         return answer
 
-    def answer(self, known, request):
-        found = taken(known.unanswered, request.response_nonce)
-        if found is None:
+    def handle_answer(self, subscription, request):
+        answered = pop_answered(subscription.unanswered, request.response_nonce)
+        if answered is None:
             return None
-        marks, ordered, version = found
+        marks, ordered, version = answered
         if request.HasField("error_detail"):
-            # Later changes build on what it refused: they would be refused too. The host orders a whole one.
-            known.waits, known.whole = request.type_url == resources.LINE, True
-            known.unanswered.clear()
-            if not known.waits:
-                known.held = {}
+            # Later changes build on the rejected one and would be rejected too, so the host orders a whole
+            # table.
+            subscription.awaits_table = request.type_url == resources.LINE
+            subscription.replace_all = True
+            subscription.unanswered.clear()
+            if not subscription.awaits_table:
+                subscription.held = {}
             return "refused", request.error_detail.message, version
         return "accepted", marks, ordered, version
 
-    def due(self, kinds, marks=(), stamp=None, whole=False):
-        """As `Session.due`; `whole`: all that the client is to hold was ordered."""
-        for kind in kinds:
-            known = self.subscriptions.setdefault(kind, Subscription())
-            known.owe(marks, stamp)
-            if kind == resources.LINE and whole and known.waits:
-                known.waits, known.whole = False, True
+    def due(self, type_urls, marks=(), stamp=None, whole=False):
+        """As `Session.due`; `whole`: the order contains all that the client is to hold."""
+        for type_url in type_urls:
+            subscription = self.subscriptions.setdefault(type_url, Subscription())
+            subscription.schedule(marks, stamp)
+            if type_url == resources.LINE and whole and subscription.awaits_table:
+                subscription.awaits_table = False
+                subscription.replace_all = True
             marks, stamp = (), None
 
     def next_response(self):
-        for kind in ORDER:
-            known = self.subscriptions.get(kind)
-            if known is None or not known.due or not known.names or known.waits:
+        for type_url in ORDER:
+            subscription = self.subscriptions.get(type_url)
+            if (
+                subscription is None
+                or not subscription.due
+                or not subscription.names
+                or subscription.awaits_table
+            ):
                 continue
-            known.due = False
-            found = self.render(kind, list(known.names))
-            if found is None:
+            subscription.due = False
+            rendered = self.render(type_url, list(subscription.names))
+            if rendered is None:
                 continue
-            response = self.response(kind, known, found)
+            response = self.response(type_url, subscription, rendered)
             if response is not None:
                 return response
         return None
 
-    def response(self, kind, known, found):
-        named = self.weights()[1] if kind == resources.LINE else None
-        versions = {name: version for name, (version, _) in found.items()}
-        changed = [name for name, version in versions.items() if known.held.get(name) != version]
-        removed = [name for name in known.held if name not in versions]
-        if not changed and not removed and not known.marks and named == known.named:
-            known.stamp = None
+    def response(self, type_url, subscription, rendered):
+        """Returns the response that brings the client from what it holds to `rendered`, or None if there is
+        nothing to send."""
+        table_name = self.weights()[1] if type_url == resources.LINE else None
+        versions = {name: version for name, (version, _) in rendered.items()}
+        changed = [name for name, version in versions.items() if subscription.held.get(name) != version]
+        removed = [name for name in subscription.held if name not in versions]
+        if not changed and not removed and not subscription.marks and table_name == subscription.table_name:
+            subscription.stamp = None
             return None
-        response = discovery_pb2.DeltaDiscoveryResponse(type_url=kind)
+        response = discovery_pb2.DeltaDiscoveryResponse(type_url=type_url)
         whole = (
-            kind == resources.LINE
-            and self.checks
-            and (known.whole or self.smaller_whole(found, changed, removed))
+            type_url == resources.LINE
+            and self.checks_hashes
+            and (subscription.replace_all or self.whole_is_smaller(rendered, changed, removed))
         )
         for name in versions if whole else changed:
-            version, message = found[name]
+            version, message = rendered[name]
             response.resources.add(name=name, version=version).resource.Pack(message)
         if not whole:
             response.removed_resources.extend(removed)
-        self.count += 1
-        response.nonce = known.next_nonce(self.epoch, self.count)
-        if kind == resources.LINE:
+        self.response_count += 1
+        response.nonce = subscription.next_nonce(self.epoch, self.response_count)
+        if type_url == resources.LINE:
             weights, name = self.weights()
-            base = "-" if whole else resources.held_hash(known.held)
+            base = "-" if whole else resources.hash_of_versions(subscription.held)
             response.system_version_info = f"{name} {base} {content_hash(weights)}"
-        known.was_written(named)
-        known.held, known.whole, known.named = versions, False, named
+        subscription.record_sent(table_name)
+        subscription.held = versions
+        subscription.replace_all = False
+        subscription.table_name = table_name
         return response
 
-    def smaller_whole(self, found, changed, removed):
-        """Whether all lines together are fewer bytes than the change, by what both would be written as."""
-        if len(changed) + len(removed) <= len(found) / 2:
+    def whole_is_smaller(self, rendered, changed, removed):
+        """Whether all lines together take fewer bytes than the change, estimated from their encodings."""
+        if len(changed) + len(removed) <= len(rendered) / 2:
             return False
-        sizes = {name: len(name) + message.ByteSize() for name, (_, message) in found.items()}
+        sizes = {name: len(name) + message.ByteSize() for name, (_, message) in rendered.items()}
         return sum(sizes.values()) < sum(sizes[n] for n in changed) + sum(len(n) + 2 for n in removed)
--- a/foxstep/xds/listing.py
+++ b/foxstep/xds/listing.py
@@ -1,6 +1,7 @@
-"""The list of servers, as a client of an endpoint discovery service (EDS, state of the world).
+"""Client of the server list, by the endpoint discovery service (EDS, state of the world).
 
-Each endpoint's health says open or draining; metadata under `foxstep` gives kind, cell, size and start.
+An endpoint's health status says whether the server is open or draining; its metadata under `foxstep` holds
+kind, cell, size and start time.
 """
 
 import asyncio
@@ -14,71 +15,85 @@
 from envoy.service.endpoint.v3 import eds_pb2_grpc
 
 from foxstep.xds import resources
-from foxstep.xds.waits import stray, within
+from foxstep.xds.cancellation import is_stray_cancellation, with_timeout
 
-MOST_SERVERS = 20_000
-SECOND = 1_000_000
-OUT = (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY)
+MAX_SERVERS = 20_000
+SECOND_US = 1_000_000
+DRAINING_STATUSES = (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY)
 
 
 class Unsound(ValueError):
-    """A list that cannot be taken, and why."""
+    """A server list that is invalid; the text says why."""
 
 
 def read_list(response, cluster, wall_offset):
-    """Lines as `interface.Listed` from a DiscoveryResponse, starts on the host's clock. Raises Unsound: a
-    list is taken whole or not at all, and one without any server is read as a call that failed."""
-    found = None
+    """Returns the list in a DiscoveryResponse as `interface.Listed` entries, start times on the host's clock.
+
+    `wall_offset`: wall clock minus host clock, in microseconds. Raises Unsound: a list is used whole or not
+    at all, and one without any server is handled like a failed call.
+    """
+    assignment = None
     for resource in response.resources:
-        made = endpoint_pb2.ClusterLoadAssignment()
-        if not resource.Unpack(made):
-            raise Unsound(f"not an assignment but {resource.type_url[:100]}")
-        if made.cluster_name == cluster:
-            found = made
-    if found is None:
+        message = endpoint_pb2.ClusterLoadAssignment()
+        if not resource.Unpack(message):
+            raise Unsound(f"resource is not an assignment but {resource.type_url[:100]}")
+        if message.cluster_name == cluster:
+            assignment = message
+    if assignment is None:
         raise Unsound(f"no assignment named {cluster}")
-    lines = {}
-    for group in found.endpoints:
+    entries = {}
+    for group in assignment.endpoints:
         for endpoint in group.lb_endpoints:
             address = endpoint.endpoint.address.socket_address
             if not address.address or not 0 < address.port_value < 65536:
-                raise Unsound(f"entry {len(lines)} without an address")
+                raise Unsound(f"entry {len(entries)} without an address")
             host = f"[{address.address}]" if ":" in address.address else address.address
             ident = f"{host}:{address.port_value}"
-            if ident in lines:
+            if ident in entries:
                 raise Unsound(f"{ident} listed twice")
-            facts = endpoint.metadata.filter_metadata.get("foxstep")
-            facts = {} if facts is None else dict(facts)
+            metadata = endpoint.metadata.filter_metadata.get("foxstep")
+            metadata = {} if metadata is None else dict(metadata)
             try:
-                cell, started = int(facts.get("cell", 0)), float(facts.get("started", 0))
-                size = float(facts.get("size", 1))
-                begun = max(round(started * SECOND) - wall_offset, 1) if started else 0
+                cell, started = int(metadata.get("cell", 0)), float(metadata.get("started", 0))
+                size = float(metadata.get("size", 1))
+                started_at = max(round(started * SECOND_US) - wall_offset, 1) if started else 0
             except (TypeError, ValueError, OverflowError):
                 raise Unsound(f"{ident}: cell, size and started are numbers") from None
-            state = "draining" if endpoint.health_status in OUT else "open"
-            lines[ident] = (ident, group.locality.zone, str(facts.get("kind", "")), cell, state, size, begun)
-            if len(lines) > MOST_SERVERS:
-                raise Unsound(f"over {MOST_SERVERS} servers")
-    if not lines:
+            state = "draining" if endpoint.health_status in DRAINING_STATUSES else "open"
+            entries[ident] = (
+                ident,
+                group.locality.zone,
+                str(metadata.get("kind", "")),
+                cell,
+                state,
+                size,
+                started_at,
+            )
+            if len(entries) > MAX_SERVERS:
+                raise Unsound(f"over {MAX_SERVERS} servers")
+    if not entries:
         raise Unsound("no server at all")
-    return list(lines.values())
+    return list(entries.values())
 
 
 class ListClient:
-    """Follows the list while the host wishes it. A failure is told to the host, which asks again."""
+    """Follows the server list while the host requests it. Reports a failure to the host, which retries."""
 
     def __init__(self, host, address, cluster, me):
-        self.host, self.address, self.cluster = host, address, cluster
+        self.host = host
+        self.address = address
+        self.cluster = cluster
         self.node = resources.node(me, host.site["zone"])
-        self.wanted, self.log = anyio.Event(), structlog.get_logger("foxstep.list")
+        self.requested = anyio.Event()
+        self.log = structlog.get_logger("foxstep.list")
         host.watch, host.fetch = self.watch, self.fetch
 
     def watch(self, on):
         if on:
-            self.wanted.set()
+            self.requested.set()
 
     def fetch(self):
-        self.wanted.set()
+        self.requested.set()
 
     async def run(self):
         options = [
@@ -88,39 +103,39 @@
         ]
         async with grpc.aio.insecure_channel(self.address, options=options) as channel:
             while True:
-                await self.wanted.wait()
-                self.wanted = anyio.Event()
+                await self.requested.wait()
+                self.requested = anyio.Event()
                 try:
                     reason = await self.follow(channel)
                 except (grpc.RpcError, asyncio.InvalidStateError, Unsound, TimeoutError) as error:
-                    told = error.details() if isinstance(error, grpc.RpcError) else str(error)
-                    reason = told or "no answer"
+                    details = error.details() if isinstance(error, grpc.RpcError) else str(error)
+                    reason = details or "no response"
                 except asyncio.CancelledError:
-                    if not stray():
+                    if not is_stray_cancellation():
                         raise
                     reason = "the call was cancelled"
                 self.log.warning("list failed", reason=reason)
                 self.host.listed("failed", [])
 
     async def follow(self, channel):
-        """One subscription, until it fails."""
+        """Runs one subscription until it fails; returns or raises the reason."""
         stub = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel)
         call = stub.StreamEndpoints()
         request = discovery_pb2.DiscoveryRequest(
             node=self.node, resource_names=[self.cluster], type_url=resources.LINES
         )
         try:
-            limit = self.host.site["ask_within"] / SECOND / 2
-            await within(limit, call.write(request))
-            response = await within(limit, call.read())
+            timeout_s = self.host.site["ask_within"] / SECOND_US / 2
+            await with_timeout(timeout_s, call.write(request))
+            response = await with_timeout(timeout_s, call.read())
             while response is not grpc.aio.EOF:
                 request = discovery_pb2.DiscoveryRequest(
                     resource_names=[self.cluster], type_url=resources.LINES, response_nonce=response.nonce
                 )
                 try:
-                    lines = read_list(response, self.cluster, self.host.wall_offset)
+                    entries = read_list(response, self.cluster, self.host.wall_offset)
                     request.version_info = response.version_info
-                    self.host.listed("whole", lines)
+                    self.host.listed("whole", entries)
                 except Unsound as error:
                     request.error_detail.message = str(error)
                     self.log.warning("list refused", reason=str(error))
--- a/foxstep/xds/probes.py
+++ b/foxstep/xds/probes.py
@@ -1,4 +1,7 @@
-"""Probes: one out-of-band load report asked of a server (ORCA, xds.service.orca.v3.OpenRcaService)."""
+"""Server probes: one out-of-band load report requested from a server (ORCA, `OpenRcaService`).
+
+Source: xds.service.orca.v3.OpenRcaService.
+"""
 
 import asyncio
 
@@ -7,12 +10,12 @@
 from xds.data.orca.v3 import orca_load_report_pb2
 from xds.service.orca.v3 import orca_pb2
 
-from foxstep.xds.waits import stray
+from foxstep.xds.cancellation import is_stray_cancellation
 
 METHOD = "/xds.service.orca.v3.OpenRcaService/StreamCoreMetrics"
-SECOND = 1_000_000
-MOST_AT_ONCE = 64
-OUTCOMES = {
+SECOND_US = 1_000_000
+MAX_CONCURRENT_PROBES = 64
+OUTCOME_BY_STATUS = {
     grpc.StatusCode.RESOURCE_EXHAUSTED: "rejected",
     grpc.StatusCode.DEADLINE_EXCEEDED: "silent",
     grpc.StatusCode.UNAVAILABLE: "unreachable",
@@ -21,8 +24,11 @@
 
 
 def load_of(report):
-    """A server's report under our names; a field that it leaves out is unknown. Unset fields of this message
-    read as zero, so a busy part of zero is only believed beside another figure."""
+    """Returns an ORCA report under the names of the decision module, or None if it has no known field.
+
+    Unset fields of this message read as zero, so a `cpu_utilization` of zero is used only if the report has
+    another known metric.
+    """
     load = {name: value for name, value in report.named_metrics.items() if name in ("waiting", "holding")}
     if report.cpu_utilization or load:
         load["busy"] = report.cpu_utilization
@@ -30,11 +36,12 @@
 
 
 class Prober:
-    """Carries out the host's probes, at most so many at once, each within `within` seconds."""
+    """Carries out the host's probes, `MAX_CONCURRENT_PROBES` at a time, each with a timeout in seconds."""
 
-    def __init__(self, host, within=1.0):
-        self.host, self.within = host, within
-        self.send, self.asked = anyio.create_memory_object_stream(max_buffer_size=1024)
+    def __init__(self, host, timeout_s=1.0):
+        self.host = host
+        self.timeout_s = timeout_s
+        self.send, self.receive = anyio.create_memory_object_stream(max_buffer_size=1024)
         self.channels = {}
         host.probe = self.probe
 
@@ -45,12 +52,12 @@
             self.host.probed(server, "aborted", 0, None)
 
     async def run(self):
-        limit = anyio.Semaphore(MOST_AT_ONCE)
+        limit = anyio.Semaphore(MAX_CONCURRENT_PROBES)
         try:
             async with anyio.create_task_group() as group:
-                async for server in self.asked:
+                async for server in self.receive:
                     await limit.acquire()
-                    group.start_soon(self.one, server, limit)
+                    group.start_soon(self.probe_once, server, limit)
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after(0.3):
                 for channel in self.channels.values():
@@ -62,31 +69,32 @@
             self.channels[server] = grpc.aio.insecure_channel(server, options=options)
         return self.channels[server]
 
-    async def one(self, server, limit):
-        started, load = self.host.clock(), None
+    async def probe_once(self, server, limit):
+        started = self.host.clock()
+        load = None
         try:
             call = self.channel(server).unary_stream(
                 METHOD,
                 request_serializer=orca_pb2.OrcaLoadReportRequest.SerializeToString,
                 response_deserializer=orca_load_report_pb2.OrcaLoadReport.FromString,
-            )(orca_pb2.OrcaLoadReportRequest(), timeout=self.within)
+            )(orca_pb2.OrcaLoadReportRequest(), timeout=self.timeout_s)
             report = await call.read()
             call.cancel()
             outcome = "aborted" if report is grpc.aio.EOF else "acked"
             load = load_of(report) if outcome == "acked" else None
         except grpc.RpcError as error:
-            outcome = OUTCOMES.get(error.code(), "aborted")
+            outcome = OUTCOME_BY_STATUS.get(error.code(), "aborted")
         except asyncio.InvalidStateError:
             outcome = "broken"
         except asyncio.CancelledError:
-            if not stray():
+            if not is_stray_cancellation():
                 raise
             outcome = "broken"
         finally:
             limit.release()
         line = self.host.listed_lines.get(server)
         if line is None or line[4] == "gone":
-            gone = self.channels.pop(server, None)
-            if gone:
-                await gone.close()
+            unused_channel = self.channels.pop(server, None)
+            if unused_channel:
+                await unused_channel.close()
         self.host.probed(server, outcome, self.host.clock() - started, load)
