--- a/foxstep/intake/pace.py
+++ b/foxstep/intake/pace.py
@@ -13,7 +13,7 @@
 SHORTEN_AFTER_ROUNDS = 12  # consecutive rounds with low load, times the current patience
 MAX_PATIENCE = 16  # factor on SHORTEN_AFTER_ROUNDS, after shorter intervals were too much
 LATE_ROUND_CYCLES = 1.25  # between two rounds, above which the round is late
-SHORTEN_BELOW = 0.6  # of the budget: load that a shorter interval may come to
+SHORTEN_BELOW_LOAD = 0.6  # of the budget: load that a shorter interval may come to
 COST_SMOOTHING = 0.1  # share of a new measurement in the average cost of a line
 INITIAL_LINE_COST_US = 12.0  # cost of reading a line, before any was measured
 MESSAGE_LINES = 32  # cost of receiving a report, in lines, however few of its lines are read
@@ -125,9 +125,11 @@
         if now < self.settled_at:
             return False
         # At a low load, rounds are late for another reason, and longer intervals would only lose information.
-        late = duration > LATE_ROUND_CYCLES * self.cycle and self.load > SHORTEN_BELOW / 2
+        late = duration > LATE_ROUND_CYCLES * self.cycle and self.load > SHORTEN_BELOW_LOAD / 2
         self.overloaded_rounds = self.overloaded_rounds + 1 if self.load > 1 or late else 0
-        self.low_load_rounds = self.low_load_rounds + 1 if 2 * self.load < SHORTEN_BELOW and not late else 0
+        self.low_load_rounds = (
+            self.low_load_rounds + 1 if 2 * self.load < SHORTEN_BELOW_LOAD and not late else 0
+        )
         before = self.asked
         if self.overloaded_rounds >= LENGTHEN_AFTER_ROUNDS:
             self.asked = min(self.asked * 2, MAX_INTERVAL_CYCLES * self.cycle)
--- a/foxstep/intake/sums.py
+++ b/foxstep/intake/sums.py
@@ -1,11 +1,11 @@
 """Sums of the tries at servers and the ops at proxies, for the decision module's rounds.
 
 A report counts for the time that it covers, but no proxy counts for more time than has passed. Each proxy
-has an account of time that fills as the clock advances, up to a little more than one interval. So a report
-that is duplicated, that arrives in a burst after a pause, or that covers a long pause counts for the last
-interval at most: older data is not taken for present data. In place of an overdue report, the proxy's last
-one counts again, for a few intervals. Where proxies report at long intervals, a report is spread evenly over
-the rounds of one interval, through a ring of rounds, so that the module sees a steady flow.
+has an account of time that fills as the clock advances, up to `ACCOUNT_INTERVALS` of its intervals. So a
+report that is duplicated, that arrives in a burst after a pause, or that covers a long pause counts for the
+last intervals at most: older data is not taken for present data. In place of an overdue report, the proxy's
+last one counts again, for a few intervals. Where proxies report at long intervals, a report is spread evenly
+over the rounds of one interval, through a ring of rounds, so that the module sees a steady flow.
 
 No I/O, no clock; times are whole microseconds. The module gets whole numbers: fractions are carried over to
 the next round, so that the sums stay exact. What waits longest is passed on first and adds up until then.
@@ -104,11 +104,17 @@
     def accumulate_tries(self, zone, lines, factor):
         if not factor:
             return
-        met = self.met
+        server_sums = self.met
         for server, (tries, aborted, timed, total) in lines.items():
-            sums = met.get((server, zone))
+            sums = server_sums.get((server, zone))
             if sums is None:
-                met[server, zone] = [tries * factor, aborted * factor, timed * factor, total * factor, None]
+                server_sums[server, zone] = [
+                    tries * factor,
+                    aborted * factor,
+                    timed * factor,
+                    total * factor,
+                    None,
+                ]
             else:
                 sums[0] += tries * factor
                 sums[1] += aborted * factor
