--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -137,8 +137,9 @@
         return False
 
     def add_tries(self, now, proxy, zone, lines, window, lost=0):
-        """Adds a proxy's report of its tries and returns the factor by which it counts, 0 to 1.
+        """Adds a proxy's report of its tries.
 
+        Returns the factor by which the report's time counts (see `sums.Account`); 0 if no line was accepted.
         `lines`: (server, tries, aborted, latency, load, weight) in any order. `latency` is the mean of the
         acked tries in microseconds, or None if unknown; it is then left out of the mean, not counted as zero.
         `load`: the server's own load report or None. `weight`: the number of lines that this one stands for.
--- a/foxstep/intake/sums.py
+++ b/foxstep/intake/sums.py
@@ -31,7 +31,7 @@
         self.min_window = min_window
         self.received_at = now
         self.window = interval
-        self.last_report = None  # its arguments without the part, for `Sums.spread`
+        self.last_report = None  # content, counted again if the next report is overdue
 
     def fill(self, now, interval):
         if now > self.filled_at:
