--- a/foxstep/balance.py
+++ b/foxstep/balance.py
@@ -1,12 +1,15 @@
-"""Every decision of foxstep: which lines the proxies hold, what they let in, when they try again.
-
-How it is called: `Controller(now, site, seed)`, then the inputs (`listed`, `probed`, `joined`, `heard`, ...),
-which only update what is known; after each batch the host pulls `next_order(now)` until it answers None. The
-contract and the orders stand in `foxstep/interface.py`, plain state in `foxstep/fleet.py`, the reasons in
-`docs/design.md`. `site` is a plain map of what was told at the start; times are microseconds.
-
-Order of the day: once a period judge the servers, step the weights, fill the caps; then bring the tables up
-to date, rule-bound changes first, within what the channel takes.
+"""The decision module: weights of servers, proxies' subsets of servers, admission levels and retries.
+
+Usage: `Controller(now, site, seed)`, then the inputs (`listed`, `probed`, `joined`, `heard`, ...), which only
+update the module's state; after each batch of inputs the host calls `next_order(now)` until it returns None.
+The contract and the orders are described in `foxstep/interface.py`, the plain state in `foxstep/fleet.py`,
+and the reasons of the design in `docs/design.md`. `site` is a plain map of the settings known at the start.
+Times are whole microseconds unless a name says otherwise.
+
+Once a period the module evaluates the servers' health, adjusts the weights and updates the caps. Then it
+brings the proxies' tables up to date as far as the channel to the proxies has room: changes that a rule of
+the site requires (a server that drains, is gone or is cold, a proxy that joined) are sent first and without
+waiting for the period to end.
 """
 
 from heapq import heapify, heappop, heappush, nsmallest
@@ -15,170 +18,233 @@
 from statistics import fmean, median_high, median_low
 from zlib import crc32
 
-from foxstep.fleet import OpType, Proxy, Ring, Server
-
-SECOND = 1_000_000
-OPEN = 1_000_000  # a level no proxy reaches: nothing is turned away
-
-# The design's values (docs/design.md); those marked * are open to tuning.
-PERIOD = SECOND  # about 1 s, in whole cycles of reports
-HEADROOM = 0.05  # * part of C kept free
-RHO = 0.2  # * what a cap leaves above heard demand
-STEADY = 0.25  # part of a period's latency in the steady one, whose least is the calm one
-KNEE, SHOWN = 1.1, 0.9  # C over the acked rate at longer waits; over what cores show in full rooms
-TROUBLE_PERIODS = 3
-ERRORS_UP, LATENCY_UP = 2.0, 1.5
-GROWTH, FAST_GROWTH = 1.05, 1.25  # of C a calm period; ours: at most, while caps bind and cores idle
-ACT_AT = 0.8  # levels act while use is above this part of C
-LEAST_CAP = 0.05  # of H / op types
-EARNINGS_POWER = 3  # * class weights: demand x earnings to this power
-STEP = 0.1  # * the weight step's power, per period
-OFF_BY = 0.1  # * a line is sent when this far off
-# Ours.
-CALM_ERRORS = 0.03  # errors under this part are calm
-BUSY, FULL = 0.75, 0.35  # busy cores from which trouble is the pool's; wait / mean target: rooms full
-FIT = 2  # a reported load is believed within this factor of what the waits show
-BAD, BAD_TRIES = 0.5, 4  # aborted part, of so many tries, of a server bad where the fleet is not
-SOFT_PART = 0.15  # most of the fleet withdrawn on tries alone
-PACE = 0.5  # part of the channel's stated speed that is counted on
-ROOM = 0.4  # part of the backlog for what can wait; rule-bound changes may use 0.9
-TABLES = 0.12  # part of the backlog up to which all joined proxies' tables may grow
-SPREAD = 2  # one proxy brings a server less than one part in so many of its even load
-KEPT = 0.7  # a line is picked about so many times while an idle connection lasts, or more
-CROSSING = 1.25  # a server of another zone counts as so much more crowded
-NARROWER, LEAST_BREADTH = 0.7, 0.2  # a proxy's lines, a period, while tries fail and cores idle
-CROWDED = 1.5  # a line goes to a server this much less crowded
-THIN = 2  # ops that a proxy is thought to have had beside those that came
-MANY = 16  # ops or tries from which on a short stretch says enough
-COLD_CAUTION = 0.8  # a cold server gets this part of what it surely can do,
-COLD_ENTRY = 0.25  # nothing below this part of its usual work,
-COLD_FAILING = 0.3  # and nothing where this part of all tries fails
+from foxstep.fleet import OpType, Proxy, Server, SlidingWindow
+
+SECOND = 1_000_000  # microseconds
+UNLIMITED_RATE = 1_000_000  # ops a second; no proxy reaches this level, so it admits everything
+
+PERIOD_US = SECOND  # rounded to whole cycles of reports
+SMOOTHING_FACTOR = 0.25  # weight of a period's value in an exponential moving average
+
+# Capacity and caps.
+HEADROOM_FRACTION = 0.05  # of the capacity, kept free by the caps
+CAP_MARGIN = 0.2  # fraction by which an op type's cap may exceed its measured demand
+ACTIVATION_FRACTION = 0.8  # of the capacity; caps are active while the demand is above it
+MIN_CAP_FRACTION = 0.05  # of the capacity without headroom, divided by the number of op types
+EARNINGS_EXPONENT = 3  # the weight of an op type's cap is its demand times its earnings to this power
+KNEE_CAPACITY_RATIO = 1.1  # capacity over the acked rate at which latency begins to rise
+BUSY_CAPACITY_RATIO = 0.9  # capacity over its estimate from busy cores, while servers are saturated
+SATURATED_LATENCY_RATIO = 0.35  # of the mean target latency; above it, servers' concurrency limits are full
+OVERLOAD_PERIODS = 3  # consecutive periods of overload after which the capacity is lowered
+ERROR_INCREASE_RATIO = 2.0  # over NORMAL_ERROR_FRACTION, taken as a sign of overload
+LATENCY_INCREASE_RATIO = 1.5  # over the baseline latency, taken as a sign of overload
+NORMAL_ERROR_FRACTION = 0.03  # of tries that abort without overload
+BUSY_THRESHOLD = 0.75  # fraction of busy cores above which the servers may be the cause of overload
+CAPACITY_GROWTH = 1.05  # factor for a period without overload
+MAX_CAPACITY_GROWTH = 1.25  # factor for a period without overload, while caps are active and cores are idle
+
+# Weights and health of servers.
+WEIGHT_STEP_EXPONENT = 0.1  # a weight is multiplied by (mean load / load) to this power each period
+UPDATE_THRESHOLD = 0.1  # relative difference from which a line or a level is sent
+MAX_LOAD_DEVIATION = 2  # factor between a load report and the load shown by latency, beyond which it is cut
+BAD_ABORTED_FRACTION = 0.5  # a server that aborts more of its tries is bad, unless the whole fleet does
+MIN_JUDGED_TRIES = 4  # tries needed to judge a server
+MAX_WITHDRAWN_FRACTION = 0.15  # of the servers, withdrawn on the evidence of tries alone
+ENOUGH_SAMPLES = 16  # ops or tries from which on a short interval is significant
+COLD_SAFETY_FACTOR = 0.8  # of the work that a cold server is known to be able to do
+MIN_COLD_FRACTION = 0.25  # of its usual work; a cold server that can do less gets none
+COLD_STOP_ABORTED_FRACTION = 0.3  # of all tries; from here on cold servers get no work
+
+# The channel to the proxies and the subset of servers in each proxy's table.
+CHANNEL_SPEED_FRACTION = 0.5  # of the channel's stated speed, that is counted on
+DEFERRABLE_BACKLOG_FRACTION = 0.4  # of the channel's backlog, for changes that can wait; urgent ones use 0.9
+TABLES_BACKLOG_FRACTION = 0.12  # of the backlog, up to which the tables of all joined proxies may grow
+SPREAD_FACTOR = 2  # one proxy brings a server less than 1 / SPREAD_FACTOR of the server's even load
+LINES_PER_KEEPALIVE_OP = 0.7  # lines per op within the keepalive time; with more, idle connections close
+CROSS_ZONE_FACTOR = 1.25  # the relative load of a server in another zone is taken as so much higher
+TABLE_SHRINK_FACTOR = 0.7  # of proxies' numbers of lines, each period while tries fail and cores are idle
+MIN_TABLE_FRACTION = 0.2  # of a proxy's usual number of lines
+IMBALANCE_RATIO = 1.5  # a line is moved to a server whose relative load is lower by this factor
+PRIOR_OPS = 2  # ops at its usual rate that are added to a proxy's measured ones, against random variation
 
 
 class Controller:
+    """Takes all decisions for one instance, as `foxstep.interface.DecisionModule` describes it.
+
+    The same inputs and `seed` give the same orders: random delays are derived from the seed.
+    """
+
     def __init__(self, now, site, seed):
-        self.now, self.site, self.seed, self.counter = now, site, seed, count()
-        self.op_types = [OpType(place, facts) for place, facts in enumerate(site["op_types"])]
-        self.target = fmean([o.target_latency for o in self.op_types] or [SECOND])
-        self.by_name = {op_type.name: op_type for op_type in self.op_types}
-        self.cycle = max(site.get("cycle", PERIOD), 1)
-        self.period = max(1, round(PERIOD / self.cycle)) * self.cycle
-        self.span = max(2, -(-2 * SECOND // self.cycle))  # buckets that make up what counts as recent
-        self.servers, self.proxies = {}, {}  # by id, for the door only
-        self.want, self.urgent = {}, {}  # the shared table; the proxies that cannot wait, in order
-        self.deciding, self.pressing = None, True  # the orders under way; something cannot wait
-        self.breadth, self.place_at = 1.0, now + 3 * self.period  # part of lines held; kinds are measured at
-        self.due, self.decided_at, self.reported = now, now - self.period, False
-        self.shift = None  # puts the reports' arrival into the middle of a bucket
-        self.ask_again, self.ask_wake, self.list_fails = now, None, 0
-        self.capacity = None  # C, in ops a second of this controller's own proxies
-        self.rates = 0.0  # what those usually get, as C was last brought up to it
-        self.power = self.usual_power = 0.0  # usual work that the servers surely can do now; and lately
-        self.per_power = None  # C for each part of it, as busy cores show while it is calm
-        self.trouble = 0  # periods of it in a row; below 0: of waiting after a cut
-        self.calm_latency = self.lately = self.target / 3
-        self.binding = False
-        self.caps = [None] * len(self.op_types)  # ops a second let in; None: all
-        self.quotas = self.caps  # what proxies' quotas sum up to, for that to be let in
-        self.waiting, self.waiting_at = 0.0, now  # lines thought to wait in the channel
-        self.pace, self.marked = PACE, 0.0  # part of its stated speed, lines waiting at the last mark
-
-    # -- what comes in: only what is known changes ---------------------------------------------------
+        self.now = now
+        self.site = site
+        self.seed = seed
+        self.counter = count()
+        self.op_types = [OpType(index, fields) for index, fields in enumerate(site["op_types"])]
+        self.mean_target_latency = fmean([o.target_latency for o in self.op_types] or [SECOND])
+        self.op_types_by_name = {op_type.name: op_type for op_type in self.op_types}
+        self.cycle = max(site.get("cycle", PERIOD_US), 1)
+        self.period = max(1, round(PERIOD_US / self.cycle)) * self.cycle
+        self.recent_buckets = max(2, -(-2 * SECOND // self.cycle))  # how many buckets count as recent
+        self.servers = {}  # by the id that the host uses
+        self.proxies = {}  # by the id that the host uses
+        self.shared_table = {}  # Server -> weight, for the servers that may be picked
+        self.urgent_proxies = {}  # whose changes cannot wait for the end of the period, as an ordered set
+        self.order_generator = None  # of the orders that are being pulled
+        self.has_urgent_changes = True
+        self.table_fraction = 1.0  # of its usual number of lines that a proxy holds
+        self.measure_kinds_at = now + 3 * self.period  # when weights of server kinds are measured
+        self.timer_due = now  # when the period ends if no reports arrive
+        self.period_started_at = now - self.period
+        self.reports_arrived = False  # in this period
+        self.bucket_shift = None  # microseconds that put the reports' arrival into the middle of a bucket
+        self.ask_again = now  # when to subscribe to the list again; None: not due
+        self.subscribe_wake_at = None  # for which of these times a wake-up was ordered
+        self.list_failures = 0  # in a row
+        self.capacity = None  # ops a second that the servers can do for its proxies; None: not known
+        self.usual_rate = 0.0  # ops a second that those proxies usually get, when capacity was last scaled
+        self.warm_weight = 0.0  # sum of the open servers' listed weights times their warm fractions
+        self.usual_warm_weight = 0.0  # its moving average
+        self.capacity_per_warm_weight = None  # as busy cores show while there is no overload
+        self.overload_periods = 0  # in a row; negative: periods to wait after the capacity was lowered
+        self.baseline_latency = self.smoothed_latency = self.mean_target_latency / 3
+        self.caps_active = False
+        self.caps = [None] * len(self.op_types)  # admitted ops a second of each op type; None: all
+        self.quota_totals = self.caps  # sums of the proxies' quotas with which the caps are admitted
+        self.channel_lines = 0.0  # estimated number of lines that wait in the channel
+        self.channel_updated_at = now  # when this number was estimated
+        self.channel_speed_factor = CHANNEL_SPEED_FRACTION  # of its stated speed, as last estimated
+        self.channel_lines_at_mark = 0.0  # lines that waited when the last mark was ordered
+
+    # -- inputs: they only update the state ------------------------------------------------------------------
 
     def listed(self, now, how, lines):
         if how == "failed":
-            self.list_fails += 1
-            chance = crc32(b"%d:%d" % (self.seed, next(self.counter))) / 2**32
-            wait = min(self.site.get("ask_within", 8 * SECOND) / 2, SECOND / 2 * 2 ** min(self.list_fails, 6))
-            self.ask_again = now + int(wait * (0.5 + chance))
+            self.list_failures += 1
+            random_part = crc32(b"%d:%d" % (self.seed, next(self.counter))) / 2**32
+            delay = min(
+                self.site.get("ask_within", 8 * SECOND) / 2, SECOND / 2 * 2 ** min(self.list_failures, 6)
+            )
+            self.ask_again = now + int(delay * (0.5 + random_part))
             return
-        self.list_fails *= how == "remembered"
+        self.list_failures *= how == "remembered"
         named = {line[0] for line in lines}
         for ident, zone, kind, cell, state, weight, started in lines:
             server = self.servers.get(ident)
             if server is None:
                 server = self.servers[ident] = Server(ident)
-                server.tries = Ring(self.cycle, 8, 4)
-                server.loads = Ring(self.cycle, 8, 3)
+                server.tries = SlidingWindow(self.cycle, 8, 4)
+                server.loads = SlidingWindow(self.cycle, 8, 3)
             if state == "open" and (server.state != "open" or started > server.started):
-                self.begin(server, now, started)
-            server.zone, server.kind, server.cell = zone, kind, cell
+                self.reset_server(server, now, started)
+            server.zone = zone
+            server.kind = kind
+            server.cell = cell
             server.gone_at = (server.gone_at or now) if state == "gone" else None
-            server.state, server.size = state, max(weight, 0.01)
+            server.state = state
+            server.listed_weight = max(weight, 0.01)
         if how != "changes":
             for ident, server in self.servers.items():
                 if ident not in named:
                     server.state, server.gone_at = "gone", server.gone_at or now
-        self.pressing = True
+        self.has_urgent_changes = True
 
-    def begin(self, server, now, started):
-        """A process that has just been listed (or again): what its forerunner did says nothing of it."""
-        self.urgent.update(server.holders)
-        server.started, server.trust, server.trust_since = started, 1.0, now
-        server.strikes = server.probes_good = server.probes_bad = server.probe_out = 0
+    def reset_server(self, server, now, started):
+        """Resets the health of a server whose process is new: that of the previous process says nothing."""
+        self.urgent_proxies.update(server.holders)
+        server.started = started
+        server.health_factor = 1.0
+        server.health_changed_at = now
+        server.strikes = server.probe_successes = server.probe_failures = server.probe_sent_at = 0
 
     def woken(self, now, mark): ...
 
     def bucket_time(self, now):
-        """Time for the rings: reports come all at once, and each round gets a bucket of its own."""
-        return now + (self.shift or 0)
-
-    def report_came(self, now):
-        self.reported = True
-        self.shift = self.cycle // 2 - now % self.cycle if self.shift is None else self.shift
+        """Time to be used with sliding windows: it puts each round of reports into a bucket of its own, since
+        the reports of a round arrive at about the same time."""
+        return now + (self.bucket_shift or 0)
+
+    def record_arrival(self, now):
+        """Notes that reports have arrived; returns the time of their bucket."""
+        self.reports_arrived = True
+        self.bucket_shift = (
+            self.cycle // 2 - now % self.cycle if self.bucket_shift is None else self.bucket_shift
+        )
         return self.bucket_time(now)
 
     def probed(self, now, ident, outcome, took, load):
         server = self.servers.get(ident)
-        if server is None or not server.probe_out:  # or of a process that another has replaced since
+        # Without a probe under way, this is an answer of a previous process of the server.
+        if server is None or not server.probe_sent_at:
             return
-        server.probe_out, good = 0, outcome in ("acked", "rejected")
-        server.probes_good = server.probes_good + 1 if good else 0
-        server.probes_bad = 0 if good else server.probes_bad + 1
-        self.note_load(server, now, load)
+        server.probe_sent_at = 0
+        success = outcome in ("acked", "rejected")
+        server.probe_successes = server.probe_successes + 1 if success else 0
+        server.probe_failures = 0 if success else server.probe_failures + 1
+        self.record_load(server, now, load)
 
-    def note_load(self, server, now, load):
+    def record_load(self, server, now, load):
         if load:
-            held = load.get("waiting", load.get("holding", 0.0))
-            server.loads.add(self.bucket_time(now), 1, load.get("busy", 0.0), held)
+            in_progress = load.get("waiting", load.get("holding", 0.0))
+            server.loads.add(self.bucket_time(now), 1, load.get("busy", 0.0), in_progress)
 
     def told(self, now, peer, payload): ...
 
     def learnt(self, now, ident, weight, withdrawn):
-        """Another controller's word, or a former life's: it counts where this one has nothing of its own.
+        """Takes a weight and a withdrawal from another controller, or from this one before a restart. They
+        are used only while this controller has no tries of its own at the server.
 
-        Guards against a successor that learns weights and failing servers anew. Harm: a word that is wrong
-        stands until tries or probes of its own say otherwise; withdrawals by it stay a small part."""
+        Guards against a successor that has to learn the weights and the failing servers anew. Drawback: a
+        wrong value stays until own tries or probes correct it; only a small part of the servers is withdrawn
+        this way.
+        """
         server = self.servers.get(ident)
-        if server is None or server.state != "open" or self.knows(now, server):
+        if server is None or server.state != "open" or self.has_enough_tries(now, server):
             return
-        server.weight, self.place_at = min(max(weight, 0.1), 4.0), float("inf")  # kinds need no measure then
-        out, known = sum(s.trust == 0 for s in self.open_servers()), len(self.open_servers())
-        if withdrawn and server.trust == 1 and out < SOFT_PART * (known - 1):
-            server.trust, server.trust_since, server.strikes = 0.0, now, server.strikes + 1
-            self.urgent.update(server.holders)
-        self.pressing = True
-
-    def knows(self, now, server):
-        return server.tries.sums(self.bucket_time(now))[0] >= MANY
+        server.weight = min(max(weight, 0.1), 4.0)
+        self.measure_kinds_at = float("inf")  # learnt weights replace the measurement of server kinds
+        withdrawn_count = sum(s.health_factor == 0 for s in self.open_servers())
+        open_count = len(self.open_servers())
+        if (
+            withdrawn
+            and server.health_factor == 1
+            and withdrawn_count < MAX_WITHDRAWN_FRACTION * (open_count - 1)
+        ):
+            server.health_factor = 0.0
+            server.health_changed_at = now
+            server.strikes = server.strikes + 1
+            self.urgent_proxies.update(server.holders)
+        self.has_urgent_changes = True
+
+    def has_enough_tries(self, now, server):
+        return server.tries.sums(self.bucket_time(now))[0] >= ENOUGH_SAMPLES
 
     def weighed(self, now):
-        """The usual weight of each server that tries of its own speak of."""
-        return {s.ident: s.weight for s in self.open_servers() if s.weight and self.knows(now, s)}
+        """The usual weight of each open server that this controller has enough tries of its own for."""
+        return {s.ident: s.weight for s in self.open_servers() if s.weight and self.has_enough_tries(now, s)}
 
-    def inherited(self, now, part):
-        """C of proxies that another controller served until now; below 0: of those that it now serves."""
-        self.capacity, self.rates = max((self.capacity or 0.0) + part, 0.0) or None, 0.0
+    def inherited(self, now, capacity_change):
+        """Adds capacity, in ops a second, of proxies that moved here from another controller; below 0: of
+        those that moved from here to another one."""
+        self.capacity = max((self.capacity or 0.0) + capacity_change, 0.0) or None
+        self.usual_rate = 0.0
 
     def joined(self, now, ident, zone, rate, fresh):
         proxy = self.proxies.get(ident)
         if proxy is None:
-            proxy = self.proxies[ident] = Proxy(ident, [Ring(self.cycle, 8, 3) for _ in self.op_types])
-            proxy.levels, proxy.ops = [None] * len(self.op_types), [0.0] * len(self.op_types)
-        proxy.messages = Ring(max(self.site.get("messages_window", 0) // 10, SECOND), 11, 1)
-        proxy.zone, proxy.rate, proxy.joined, proxy.bound = zone, rate, True, False
-        proxy.total, proxy.since = rate, now
-        self.urgent[proxy], self.pressing = None, True
+            proxy = self.proxies[ident] = Proxy(
+                ident, [SlidingWindow(self.cycle, 8, 3) for _ in self.op_types]
+            )
+            proxy.levels = [None] * len(self.op_types)
+            proxy.op_rates = [0.0] * len(self.op_types)
+        proxy.messages = SlidingWindow(max(self.site.get("messages_window", 0) // 10, SECOND), 11, 1)
+        proxy.zone = zone
+        proxy.stated_rate = rate
+        proxy.joined = True
+        proxy.bound = False
+        proxy.total_rate = rate
+        proxy.joined_at = now
+        self.urgent_proxies[proxy] = None
+        self.has_urgent_changes = True
 
     def left(self, now, ident):
         if ident in self.proxies:
@@ -188,117 +254,151 @@
         server = self.servers.get(ident)
         if server:
             acked = tries - aborted
-            server.tries.add(self.report_came(now), tries, aborted, acked, latency * acked)
-            self.note_load(server, now, load)
+            server.tries.add(self.record_arrival(now), tries, aborted, acked, latency * acked)
+            self.record_load(server, now, load)
 
     def used(self, now, ident, op_type, ops, unanswered, window):
         proxy = self.proxies.get(ident)
         if proxy:
-            proxy.usage[self.by_name[op_type].place].add(self.report_came(now), ops, unanswered, window)
+            index = self.op_types_by_name[op_type].index
+            proxy.usage[index].add(self.record_arrival(now), ops, unanswered, window)
 
     def applied(self, now, ident, number, took):
-        """Guards against a channel slower than stated; a slow way reads as one too, and only delays."""
-        over = (took - self.site.get("transit_most", 0)) / SECOND
-        sent = self.marked / self.site.get("lines_per_s", 1000)
-        self.pace = min(PACE, max(sent / over, PACE / 10)) if over > 0 else PACE
+        """Estimates the channel's speed from the time until a mark is answered. Guards against a channel that
+        is slower than stated. A slow network path looks the same, which only delays changes."""
+        excess = (took - self.site.get("transit_most", 0)) / SECOND
+        sent = self.channel_lines_at_mark / self.site.get("lines_per_s", 1000)
+        self.channel_speed_factor = (
+            min(CHANNEL_SPEED_FRACTION, max(sent / excess, CHANNEL_SPEED_FRACTION / 10))
+            if excess > 0
+            else CHANNEL_SPEED_FRACTION
+        )
 
-    # -- what is decided -------------------------------------------------------------------------------------
+    # -- decisions -------------------------------------------------------------------------------------------
 
     def next_order(self, now):
-        if self.deciding is None:
-            self.now, self.deciding = now, self.decide()
-        order = next(self.deciding, None)
-        self.deciding = self.deciding if order else None
+        """The next order, or None once there is nothing more to order now."""
+        if self.order_generator is None:
+            self.now = now
+            self.order_generator = self.decide()
+        order = next(self.order_generator, None)
+        self.order_generator = self.order_generator if order else None
         return order
 
     def decide(self):
+        """Yields all orders that are due at the time `now`."""
         if self.site.get("list_asked") and self.ask_again is not None:
-            # One subscription, asked for again after a failure, spread and backed off, when that is due.
+            # There is one subscription. After a failure it is ordered again with backoff and a random delay.
             if self.now >= self.ask_again:
                 self.ask_again = None
                 yield ("watch", True)
-            elif self.ask_again != self.ask_wake:
-                self.ask_wake = self.ask_again
-                yield ("wake", self.ask_wake, "list")
-        # A period ends with the reports, so that they are acted on at once; without any, by the timer.
-        due = self.decided_at + self.period - self.cycle // 2
-        tick = self.now >= (due if self.reported else self.due)
-        if tick:
-            self.due, self.decided_at = self.now + self.period * 3 // 2, self.now
-            yield ("wake", self.due, "period")
-            self.take_stock()
-            self.judge_servers()
-            if self.reported:
-                self.reported = False
+            elif self.ask_again != self.subscribe_wake_at:
+                self.subscribe_wake_at = self.ask_again
+                yield ("wake", self.subscribe_wake_at, "list")
+        # A period ends when reports arrive, so that they are acted on at once; without reports, by a timer.
+        reports_due = self.period_started_at + self.period - self.cycle // 2
+        period_ended = self.now >= (reports_due if self.reports_arrived else self.timer_due)
+        if period_ended:
+            self.timer_due = self.now + self.period * 3 // 2
+            self.period_started_at = self.now
+            yield ("wake", self.timer_due, "period")
+            self.summarize_reports()
+            self.evaluate_health()
+            if self.reports_arrived:
+                self.reports_arrived = False
                 self.step_weights()
-                yield from self.set_caps()
-            yield from self.probe()
-            yield from self.let_go()
-        if (tick or self.pressing) and not self.site.get("slices"):  # slices are in no deployment yet
-            self.pressing = False
-            self.want, self.crew = self.shared_table(), self.joined_proxies()
-            self.crew_total = sum(p.total for p in self.crew)
+                yield from self.update_caps()
+            yield from self.send_probes()
+            yield from self.remove_gone_servers()
+        if (period_ended or self.has_urgent_changes) and not self.site.get("slices"):  # not supported yet
+            self.has_urgent_changes = False
+            self.shared_table = self.compute_shared_table()
+            self.active_proxies = self.joined_proxies()
+            self.active_rate = sum(p.total_rate for p in self.active_proxies)
             self.rank_servers()
-            yield from self.update_proxies(tick)
+            yield from self.update_proxies(period_ended)
 
-    def take_stock(self):
-        """Sums up what was heard, once a period: what is recent, and longer where that is a handful.
+    def summarize_reports(self):
+        """Sums up the reports, once a period: those of recent time, and of a longer time where ops are few.
 
-        `seconds` is the stretch that recent usage tells of, by the reports' windows. Guards against reports
-        late, thin or doubled in a later line, and the part stretch after a restart or a mass return."""
-        self.recent, ring_time = self.bucket_time(self.now), 8 * self.cycle
-        # C is of the joined proxies: it grows and shrinks with what they usually get.
+        `recent_seconds` is the duration that the recent reports of usage cover by their own windows. Guards
+        against reports that are late, sparse or merged into a later one, and against windows that are only
+        partly covered after a restart or after many proxies return at once."""
+        self.recent_time = self.bucket_time(self.now)
+        window_duration = 8 * self.cycle  # 8 buckets of a cycle each
+        # The capacity is that for the joined proxies: it grows and shrinks with their usual rate.
         joined = self.joined_proxies()
-        rates = sum(p.rate for p in joined)
-        if self.capacity and self.rates:
-            self.capacity = self.capacity * rates / self.rates or None
-        self.rates = rates
-        # And of the servers: with those that the list takes away, and starts cold, it is less at once.
-        power = sum(s.size * self.warmth(s) for s in self.open_servers())
-        if self.capacity and self.power and power:
-            self.capacity *= power / self.power
-        part = min(self.period / max(self.site.get("ramp", 0), 1), 1.0) if self.usual_power else 1.0
-        self.power, self.usual_power = power, self.usual_power + (power - self.usual_power) * part
-        told, covered, recent = 0.0, 0.0, [0.0] * len(self.op_types)
+        usual_rate = sum(p.stated_rate for p in joined)
+        if self.capacity and self.usual_rate:
+            self.capacity = self.capacity * usual_rate / self.usual_rate or None
+        self.usual_rate = usual_rate
+        # It also follows the servers: when the list removes some or some start cold, it is lowered at once.
+        warm_weight = sum(s.listed_weight * self.warmth(s) for s in self.open_servers())
+        if self.capacity and self.warm_weight and warm_weight:
+            self.capacity *= warm_weight / self.warm_weight
+        smoothing = (
+            min(self.period / max(self.site.get("ramp", 0), 1), 1.0) if self.usual_warm_weight else 1.0
+        )
+        self.warm_weight = warm_weight
+        self.usual_warm_weight = self.usual_warm_weight + (warm_weight - self.usual_warm_weight) * smoothing
+        rate_sum = 0.0
+        covered = 0.0
+        recent_ops = [0.0] * len(self.op_types)
         for server in self.open_servers():
-            server.tried = server.tries.sums(self.recent, self.span)
-            server.loaded = server.loads.sums(self.recent, self.span)
-            server.cover = 0.0
+            server.recent_tries = server.tries.sums(self.recent_time, self.recent_buckets)
+            server.recent_loads = server.loads.sums(self.recent_time, self.recent_buckets)
+            server.assigned_rate = 0.0
         for proxy in joined:
-            ever = max(min(self.now - proxy.since, ring_time), self.cycle)
-            for place, ring in enumerate(proxy.usage):
-                ops, _, window = ring.sums(self.recent, self.span)
-                long = ring.sums(self.recent)[0] / ever
-                recent[place], told, covered = recent[place] + ops, told + long, covered + long * window
-                proxy.ops[place] = (long if ops < MANY else ops / max(window, self.cycle)) * SECOND
-            # What it usually gets stands in for what has not been heard yet.
-            proxy.total = max(sum(proxy.ops), proxy.rate * (1 - ever / ring_time))
-            ops = proxy.total / max(sum(proxy.lines.values()), 0.01)
+            connected = max(min(self.now - proxy.joined_at, window_duration), self.cycle)
+            for index, usage in enumerate(proxy.usage):
+                ops, _, window = usage.sums(self.recent_time, self.recent_buckets)
+                long_rate = usage.sums(self.recent_time)[0] / connected
+                recent_ops[index] = recent_ops[index] + ops
+                rate_sum = rate_sum + long_rate
+                covered = covered + long_rate * window
+                proxy.op_rates[index] = (
+                    long_rate if ops < ENOUGH_SAMPLES else ops / max(window, self.cycle)
+                ) * SECOND
+            # The stated rate stands in for the part of the window before the proxy joined.
+            proxy.total_rate = max(sum(proxy.op_rates), proxy.stated_rate * (1 - connected / window_duration))
+            ops = proxy.total_rate / max(sum(proxy.lines.values()), 0.01)
             for server, weight in proxy.lines.items():
-                server.cover += ops * weight
-        self.seconds = max(covered / told if told else self.span * self.cycle, self.cycle / 4) / SECOND
-        self.demand = [ops / self.seconds for ops in recent]
-        # The median over servers is moved neither by one failing server nor by a few.
-        trusted = [s for s in self.open_servers() if s.trust > 0]
-        known = [s.tried for s in trusted if s.tried[0] >= BAD_TRIES]
-        self.errors = median_high([aborted / tries for tries, aborted, _, _ in known] or [0.0])
-        # The middle half of the servers, by all their tries together: of a handful each, a single one's mean,
-        # and so the median of those that have enough, says next to nothing.
-        waits = sorted((s.tried[3] / s.tried[2], *s.tried[2:]) for s in trusted if s.tried[2])
-        middle = waits[len(waits) // 4 : len(waits) - len(waits) // 4]
+                server.assigned_rate += ops * weight
+        self.recent_seconds = (
+            max(covered / rate_sum if rate_sum else self.recent_buckets * self.cycle, self.cycle / 4) / SECOND
+        )
+        self.demand = [ops / self.recent_seconds for ops in recent_ops]
+        # The median over the servers is not moved by a few failing ones.
+        healthy = [s for s in self.open_servers() if s.health_factor > 0]
+        judged = [s.recent_tries for s in healthy if s.recent_tries[0] >= MIN_JUDGED_TRIES]
+        self.error_fraction = median_high([aborted / tries for tries, aborted, _, _ in judged] or [0.0])
+        # The mean over all tries of the middle half of the servers. With only a few tries for each server,
+        # the mean latency of a single one is too noisy, and so is the median of the servers that have enough.
+        latencies = sorted(
+            (s.recent_tries[3] / s.recent_tries[2], *s.recent_tries[2:]) for s in healthy if s.recent_tries[2]
+        )
+        middle = latencies[len(latencies) // 4 : len(latencies) - len(latencies) // 4]
         self.latency = sum(total for *_, total in middle) / max(sum(acked for _, acked, _ in middle), 1)
-        if self.latency:  # from the first calm one on: at a start only what was quick has been answered
-            self.lately += (self.latency - self.lately) * STEADY
-        tries, aborted, acked = (sum(s.tried[k] for s in self.open_servers()) for k in range(3))
-        self.tried, self.acked = tries / self.seconds, acked / self.seconds
-        self.failing = aborted / max(tries, 1)
+        # The average begins with its initial value, since only fast tries are answered soon after a start.
+        if self.latency:
+            self.smoothed_latency += (self.latency - self.smoothed_latency) * SMOOTHING_FACTOR
+        tries, aborted, acked = (sum(s.recent_tries[k] for s in self.open_servers()) for k in range(3))
+        self.tried_rate = tries / self.recent_seconds
+        self.acked = acked / self.recent_seconds  # tries a second
+        self.fleet_aborted_fraction = aborted / max(tries, 1)
         for server in self.open_servers():
-            _, _, acked, latency = server.tried
-            server.slower = latency / acked / self.latency if acked >= BAD_TRIES and self.latency else 1.0
-        reporting = trusted if "busy" in self.site.get("reports", []) else []
-        busy = {s: s.loaded[1] / s.loaded[0] for s in reporting if s.loaded[0]}
+            _, _, acked, latency = server.recent_tries
+            server.latency_ratio = (
+                latency / acked / self.latency if acked >= MIN_JUDGED_TRIES and self.latency else 1.0
+            )
+        reporting = healthy if "busy" in self.site.get("reports", []) else []
+        busy = {s: s.recent_loads[1] / s.recent_loads[0] for s in reporting if s.recent_loads[0]}
         mean = fmean(busy.values() or [0.0])
-        self.busy = [part for s, part in busy.items() if part * FIT >= mean * s.slower]
+        self.busy_fractions = [
+            fraction
+            for s, fraction in busy.items()
+            if fraction * MAX_LOAD_DEVIATION >= mean * s.latency_ratio
+        ]
 
     def open_servers(self):
         return [s for s in self.servers.values() if s.state == "open"]
@@ -307,19 +407,22 @@
         return [p for p in self.proxies.values() if p.joined]
 
     def warmth(self, server):
-        """What a server surely can do of its usual work: its ramp is never slower than even."""
-        ramp, cold = self.site.get("ramp", 0), self.site.get("cold_share", 1.0)
+        """The fraction of its usual work that a server can safely do after its start: 1 once it is warm. The
+        ramp from the cold fraction to 1 is taken to be linear, since no server's is slower."""
+        ramp = self.site.get("ramp", 0)
+        cold = self.site.get("cold_share", 1.0)
         age = self.now - server.started
         if not server.started or age >= ramp:
             return 1.0
-        return (cold + (1 - cold) * max(age, 0) / ramp) * COLD_CAUTION
+        return (cold + (1 - cold) * max(age, 0) / ramp) * COLD_SAFETY_FACTOR
 
-    def let_go(self):
-        """Guards against a list of ever new names: a server long gone that no joined proxy holds goes,
-        also in tables of those that left. Harm: one that is back after all is learnt anew."""
-        before = self.now - self.site.get("ramp", 0) - 8 * self.cycle
+    def remove_gone_servers(self):
+        """Forgets servers that have been gone for long and that no joined proxy holds, and removes their
+        lines from the tables of proxies that left. Guards against a list whose names change all the time.
+        Drawback: a server that returns after all is learnt anew."""
+        gone_before = self.now - self.site.get("ramp", 0) - 8 * self.cycle
         for ident, server in list(self.servers.items()):
-            long_gone = server.gone_at is not None and server.gone_at < before
+            long_gone = server.gone_at is not None and server.gone_at < gone_before
             if long_gone and not any(p.joined for p in server.holders):
                 for proxy in server.holders:
                     del proxy.lines[server]
@@ -328,324 +431,457 @@
 
     # Health
 
-    def probe(self):
-        """Load reports where answers carry none, and word of whether the process runs."""
+    def send_probes(self):
+        """Probes servers for whether they respond, and for load reports where answers to tries carry none."""
         if not self.site.get("probes"):
             return
         for server in self.open_servers():
-            if not server.probe_out or self.now - server.probe_out > 5 * self.period:
-                server.probe_out = self.now
+            if not server.probe_sent_at or self.now - server.probe_sent_at > 5 * self.period:
+                server.probe_sent_at = self.now
                 yield ("probe", server.ident)
 
-    def judge_servers(self):
-        """Withdraws a server that fails where the fleet does not, and takes one back by a graded trial.
+    def evaluate_health(self):
+        """Withdraws a server that fails where the fleet does not, and restores it in steps, as a trial.
 
-        Guards against one server down, silent or failing fast, and a zone out of reach. Where all are bad at
-        once, none goes. Harm: a server that one op type alone fails on is lost to the others too."""
+        Guards against a server that is down, does not respond or fails fast, and against a zone that is not
+        reachable. If all servers are bad at once, none is withdrawn. Drawback: a server on which a single op
+        type fails is lost to the other op types, too."""
         candidates = self.open_servers()
         for server in candidates:
-            since = self.bucket_time(server.trust_since)
-            tries, aborted, *_ = server.tries.sums(self.recent, self.span, since)
-            if 0 < tries < BAD_TRIES:
-                tries, aborted, *_ = server.tries.sums(self.recent, 0, since)
-            server.aborted_part = aborted / tries if tries >= BAD_TRIES else None
-        parts = [s.aborted_part for s in candidates if s.aborted_part is not None and s.trust > 0]
-        usual = median_low(parts or [0.0])
-        out = sum(1 for s in candidates if s.trust == 0)
-        # Probes that most of those do not answer whose tries are acked speak of this controller's own way.
-        mute = [server.probes_bad >= 2 for server in candidates if server.tried[2]]
-        believed = 2 * sum(mute) <= len(mute)
+            since = self.bucket_time(server.health_changed_at)
+            tries, aborted, *_ = server.tries.sums(self.recent_time, self.recent_buckets, since)
+            if 0 < tries < MIN_JUDGED_TRIES:
+                tries, aborted, *_ = server.tries.sums(self.recent_time, 0, since)
+            server.aborted_fraction = aborted / tries if tries >= MIN_JUDGED_TRIES else None
+        fractions = [
+            s.aborted_fraction for s in candidates if s.aborted_fraction is not None and s.health_factor > 0
+        ]
+        usual = median_low(fractions or [0.0])
+        withdrawn_count = sum(1 for s in candidates if s.health_factor == 0)
+        # If most of the servers whose tries are acked do not answer probes, the fault is on this controller's
+        # own network path, and probes are not taken as evidence.
+        unanswered = [server.probe_failures >= 2 for server in candidates if server.recent_tries[2]]
+        probes_credible = 2 * sum(unanswered) <= len(unanswered)
         for server in candidates:
-            unreachable, part = believed and server.probes_bad >= 2, server.aborted_part
-            working = server.loaded[1] > BUSY * server.loaded[0] > 0 and not unreachable
-            failing = part is not None and part > BAD + (0 if unreachable else BAD * usual) and not working
-            if server.trust > 0:
-                soft = out < SOFT_PART * (len(candidates) - 1)
-                if (unreachable and (failing or part is None)) or (failing and soft):
-                    server.trust, server.trust_since = 0.0, self.now
+            unreachable = probes_credible and server.probe_failures >= 2
+            fraction = server.aborted_fraction
+            # A server with busy cores is overloaded rather than bad.
+            working = server.recent_loads[1] > BUSY_THRESHOLD * server.recent_loads[0] > 0 and not unreachable
+            failing = (
+                fraction is not None
+                and fraction > BAD_ABORTED_FRACTION + (0 if unreachable else BAD_ABORTED_FRACTION * usual)
+                and not working
+            )
+            if server.health_factor > 0:
+                may_withdraw = withdrawn_count < MAX_WITHDRAWN_FRACTION * (len(candidates) - 1)
+                if (unreachable and (failing or fraction is None)) or (failing and may_withdraw):
+                    server.health_factor = 0.0
+                    server.health_changed_at = self.now
                     server.strikes += 1
-                    out += 1
-                elif server.trust < 1 and self.now - server.trust_since >= 2 * self.period:
-                    server.trust, server.trust_since = min(1.0, server.trust * 2), self.now
-            elif (server.probes_good > 1 or not believed) and (
-                self.now - server.trust_since >= self.period * 2**server.strikes
+                    withdrawn_count += 1
+                elif server.health_factor < 1 and self.now - server.health_changed_at >= 2 * self.period:
+                    server.health_factor = min(1.0, server.health_factor * 2)
+                    server.health_changed_at = self.now
+            elif (server.probe_successes > 1 or not probes_credible) and (
+                self.now - server.health_changed_at >= self.period * 2**server.strikes
             ):
-                # The trial is graded like a cold start, since it may be one that the list does not tell yet;
-                # each strike doubles the wait, against flapping and servers that fail fast yet answer probes.
-                server.trust, server.trust_since = self.site.get("cold_share", 0.2), self.now
+                # The trial starts like a cold start, since the server may have restarted without the list
+                # showing it yet. Each withdrawal doubles the wait, against flapping and against servers that
+                # fail fast but answer probes.
+                server.health_factor = self.site.get("cold_share", 0.2)
+                server.health_changed_at = self.now
 
-    # Weights: one vector for all proxies
+    # Weights: the same for all proxies
 
     def step_weights(self):
-        """The design's small step, weight x (mean load / load)^STEP, on servers that are warm and trusted.
-
-        Load is busy cores, and the wait of what is held as a part of the mean target latency."""
-        trusted = [s for s in self.want if s.trust == 1 and self.warmth(s) == 1]
-        part = len(self.joined_proxies()) / max(self.site.get("proxies", 1), 1)
-        acked = sum(s.tried[2] for s in trusted) / self.seconds / max(part, 0.05)  # by all proxies
-        rate = acked / max(sum(s.weight for s in trusted), 0.1)
+        """Takes one small step per period, weight x (mean load / load)^WEIGHT_STEP_EXPONENT, for servers that
+        are warm and healthy.
+
+        A server's load is its fraction of busy cores plus the wait of the ops that it holds, as a fraction of
+        the mean target latency."""
+        healthy = [s for s in self.shared_table if s.health_factor == 1 and self.warmth(s) == 1]
+        proxies_fraction = len(self.joined_proxies()) / max(self.site.get("proxies", 1), 1)
+        # Acked tries a second of all proxies, those of other controllers included.
+        acked = sum(s.recent_tries[2] for s in healthy) / self.recent_seconds / max(proxies_fraction, 0.05)
+        rate_per_weight = acked / max(sum(s.weight for s in healthy), 0.1)
         loads = []
-        for server in trusted:
-            reports, busy, held = server.loaded
+        for server in healthy:
+            reports, busy, in_progress = server.recent_loads
             if reports:
-                wait = held / reports / max(rate * server.weight, 0.5) * SECOND
-                loads.append((server, max(busy / reports + wait / self.target, 0.05)))
-        if not loads and self.now >= self.place_at:
-            # Nobody has reported: waits alone tell. Harm: a slow server gets less than it could do.
-            loads = [(s, s.slower) for s in trusted if s.tried[2] >= BAD_TRIES]
+                wait = in_progress / reports / max(rate_per_weight * server.weight, 0.5) * SECOND
+                loads.append((server, max(busy / reports + wait / self.mean_target_latency, 0.05)))
+        if not loads and self.now >= self.measure_kinds_at:
+            # Without load reports, only latency shows the load. Drawback: a slow server gets less work than
+            # it could do.
+            loads = [(s, s.latency_ratio) for s in healthy if s.recent_tries[2] >= MIN_JUDGED_TRIES]
         if len(loads) < 2:
             return
-        if sum(self.busy) and self.now >= self.place_at:
-            # Kinds start at what a busy core of theirs does: the step alone would take the best of a minute.
-            self.place_at = float("inf")
-            per_core = self.acked * self.seconds / sum(self.busy)
+        if sum(self.busy_fractions) and self.now >= self.measure_kinds_at:
+            # The initial weight of each server kind is what one of its busy cores does: with steps alone, the
+            # weights would take most of a minute to get there.
+            self.measure_kinds_at = float("inf")
+            acked_per_core = self.acked * self.recent_seconds / sum(self.busy_fractions)
             for kind in dict.fromkeys(s.kind for s, _ in loads):
-                alike = [s for s, _ in loads if s.kind == kind]
-                cores = sum(s.loaded[1] / s.loaded[0] for s in alike)
-                done = (sum(s.tried[2] for s in alike) + 1) / (cores * per_core + 1)
-                for server in alike:
-                    server.weight *= done
-        # Guards against reports that show less or more than there is, or are stuck. Harm: a server far slower
-        # or faster than its kind's others is stepped by its waits rather than by its cores.
-        fit = median_high(load for _, load in loads) / FIT
-        loads = [(s, min(max(load, fit * s.slower), fit * s.slower * FIT**2)) for s, load in loads]
+                same_kind = [s for s, _ in loads if s.kind == kind]
+                busy = sum(s.recent_loads[1] / s.recent_loads[0] for s in same_kind)
+                relative_speed = (sum(s.recent_tries[2] for s in same_kind) + 1) / (busy * acked_per_core + 1)
+                for server in same_kind:
+                    server.weight *= relative_speed
+        # Loads are cut to a range around the one that latency shows. Guards against load reports that are too
+        # high, too low or stuck. Drawback: a server that is far slower or faster than others of its kind is
+        # adjusted by its latency rather than by its cores.
+        lowest = median_high(load for _, load in loads) / MAX_LOAD_DEVIATION
+        loads = [
+            (
+                s,
+                min(
+                    max(load, lowest * s.latency_ratio),
+                    lowest * s.latency_ratio * MAX_LOAD_DEVIATION**2,
+                ),
+            )
+            for s, load in loads
+        ]
         mean = fmean(load for _, load in loads)
         for server, load in loads:
-            server.weight *= min(max((mean / load) ** STEP, 0.8), 1.25)
+            server.weight *= min(max((mean / load) ** WEIGHT_STEP_EXPONENT, 0.8), 1.25)
         scale = len(loads) / sum(s.weight for s, _ in loads)
         for server, _ in loads:
             server.weight = min(max(server.weight * scale, 0.1), 4.0)
 
     # Capacity and caps
 
-    def set_caps(self):
-        """C from trouble and calm, then the caps by water filling while use is near C."""
-        if self.latency and self.errors <= CALM_ERRORS:
-            self.calm_latency = min(self.calm_latency, self.lately)
-        full, slow = self.latency > FULL * self.target, self.latency > LATENCY_UP * self.calm_latency
-        shown = self.acked / max(fmean(self.busy), 0.2) if self.busy else None  # what reports say of capacity
-        # Trouble while cores idle (or, unreported, use is far from C) has another cause than the pool.
-        near = median_high(self.busy) > BUSY if self.busy else self.tried > ACT_AT * (self.capacity or 0)
-        failing = self.errors > ERRORS_UP * CALM_ERRORS
-        enough = self.acked * self.seconds >= 2 * MANY  # the first few answers of a start say nothing of C
-        # Guards against connections refused or dear: where tries fail and cores idle, fewer lines need fewer.
-        # Harm: where they fail for another cause, a proxy's ops fall on fewer servers.
-        step = NARROWER if failing and self.busy and not near else GROWTH
-        self.breadth = min(max(self.breadth * step, LEAST_BREADTH), 1.0)
-        if (slow or failing) and near and enough:
-            self.trouble += 1 if self.trouble < 0 or not full else TROUBLE_PERIODS
-            if self.trouble >= TROUBLE_PERIODS:
-                # Longer waits show the knee, at about 1 / KNEE of capacity; full rooms show capacity itself.
-                knee = KNEE * self.acked
-                found = max(self.acked, SHOWN * (shown or 0)) if full else min(knee, shown or knee)
+    def update_caps(self):
+        """Lowers the capacity on overload and raises it otherwise; then sets the caps by weighted water
+        filling while the demand is near the capacity."""
+        if self.latency and self.error_fraction <= NORMAL_ERROR_FRACTION:
+            self.baseline_latency = min(self.baseline_latency, self.smoothed_latency)
+        saturated = self.latency > SATURATED_LATENCY_RATIO * self.mean_target_latency
+        slow = self.latency > LATENCY_INCREASE_RATIO * self.baseline_latency
+        # The acked rate at which all cores would be busy, by the load reports.
+        full_rate = self.acked / max(fmean(self.busy_fractions), 0.2) if self.busy_fractions else None
+        # Latency or errors while cores are idle (or, without load reports, while the rate of tries is far
+        # below the capacity) have another cause than the servers' capacity.
+        near_capacity = (
+            median_high(self.busy_fractions) > BUSY_THRESHOLD
+            if self.busy_fractions
+            else self.tried_rate > ACTIVATION_FRACTION * (self.capacity or 0)
+        )
+        failing = self.error_fraction > ERROR_INCREASE_RATIO * NORMAL_ERROR_FRACTION
+        # The first few answers after a start are not significant for the capacity.
+        enough = self.acked * self.recent_seconds >= 2 * ENOUGH_SAMPLES
+        # Guards against connections that are refused or expensive: where tries fail while cores are idle,
+        # fewer lines for each proxy need fewer connections. Drawback: where tries fail for another reason, a
+        # proxy's ops are spread over fewer servers.
+        factor = (
+            TABLE_SHRINK_FACTOR if failing and self.busy_fractions and not near_capacity else CAPACITY_GROWTH
+        )
+        self.table_fraction = min(max(self.table_fraction * factor, MIN_TABLE_FRACTION), 1.0)
+        if (slow or failing) and near_capacity and enough:
+            self.overload_periods += 1 if self.overload_periods < 0 or not saturated else OVERLOAD_PERIODS
+            if self.overload_periods >= OVERLOAD_PERIODS:
+                # An increased latency shows the knee of the latency curve, at about 1 / KNEE_CAPACITY_RATIO
+                # of the capacity; saturated servers show the capacity itself.
+                knee = KNEE_CAPACITY_RATIO * self.acked
+                found = (
+                    max(self.acked, BUSY_CAPACITY_RATIO * (full_rate or 0))
+                    if saturated
+                    else min(knee, full_rate or knee)
+                )
                 if found < (self.capacity or found + 1):
                     self.capacity = found
-                    # What was let in before has to be worked off before waits say anything of the new C.
+                    # The ops that were admitted before have to be completed before latency shows anything
+                    # about the new capacity.
                     lag = self.site.get("transit_most", 0) + max(o.target_latency for o in self.op_types)
-                    self.trouble = -round(lag / self.period)
+                    self.overload_periods = -round(lag / self.period)
         else:
-            self.trouble = max(self.trouble + 1, 0) if self.trouble < 0 else 0
-            calm = not full and not (slow and near)
-            if self.capacity and calm and self.capacity < KNEE * (shown or self.capacity):
-                # Where reports tell busy cores, they show how far C may grow, and how fast after a collapse
-                # that set it too low. Harm: cores busy with other things than ops read as capacity.
-                faster = min(FAST_GROWTH * self.capacity, shown) if self.binding and shown else 0.0
-                self.capacity = max(GROWTH * self.capacity, faster)
-        self.capacity = self.capacity and max(self.capacity, self.acked)  # what is done can be done
-        # Guards against a pool that the list has just made much smaller: waits and errors would show it only
-        # when rooms are full and cold servers get nothing. Harm: cores busy with other things than ops.
-        steady = abs(self.power - self.usual_power) <= OFF_BY * self.usual_power
-        if shown and steady and enough and not (slow or near or failing):
-            found = shown / max(self.power, 0.1)
-            self.per_power = (
-                found if self.per_power is None else (self.per_power + (found - self.per_power) * STEADY)
+            self.overload_periods = max(self.overload_periods + 1, 0) if self.overload_periods < 0 else 0
+            no_overload = not saturated and not (slow and near_capacity)
+            if (
+                self.capacity
+                and no_overload
+                and self.capacity < KNEE_CAPACITY_RATIO * (full_rate or self.capacity)
+            ):
+                # Where busy cores are reported, they show how far the capacity may grow, and how fast after a
+                # collapse during which it was set too low. Drawback: cores that are busy with other work than
+                # ops are counted as capacity.
+                fast = (
+                    min(MAX_CAPACITY_GROWTH * self.capacity, full_rate)
+                    if self.caps_active and full_rate
+                    else 0.0
+                )
+                self.capacity = max(CAPACITY_GROWTH * self.capacity, fast)
+        self.capacity = self.capacity and max(self.capacity, self.acked)  # not less than what is done now
+        # Guards against a fleet that the list has just made much smaller: latency and errors would show it
+        # only once the servers are saturated and cold ones get no work. Drawback: cores that are busy with
+        # other work than ops are counted as capacity.
+        steady = abs(self.warm_weight - self.usual_warm_weight) <= UPDATE_THRESHOLD * self.usual_warm_weight
+        if full_rate and steady and enough and not (slow or near_capacity or failing):
+            found = full_rate / max(self.warm_weight, 0.1)
+            self.capacity_per_warm_weight = (
+                found
+                if self.capacity_per_warm_weight is None
+                else (
+                    self.capacity_per_warm_weight + (found - self.capacity_per_warm_weight) * SMOOTHING_FACTOR
+                )
             )
-        fallen = self.per_power and self.power < ACT_AT * self.usual_power
-        left = fallen and SHOWN * self.per_power * self.power
-        limit = min(filter(None, (self.capacity, left)), default=None)
-        self.binding = bool(limit) and sum(self.demand) > ACT_AT * limit
-        self.caps = self.fill(self.demand, limit) if self.binding else [None] * len(self.demand)
+        shrunk = (
+            self.capacity_per_warm_weight and self.warm_weight < ACTIVATION_FRACTION * self.usual_warm_weight
+        )
+        remaining = shrunk and BUSY_CAPACITY_RATIO * self.capacity_per_warm_weight * self.warm_weight
+        limit = min(filter(None, (self.capacity, remaining)), default=None)
+        self.caps_active = bool(limit) and sum(self.demand) > ACTIVATION_FRACTION * limit
+        self.caps = self.fill_caps(self.demand, limit) if self.caps_active else [None] * len(self.demand)
         proxies = len(self.joined_proxies())
-        self.quotas = [
-            cap and cap * self.stretch(cap, heard, proxies)
-            for cap, heard in zip(self.caps, self.demand, strict=True)
+        self.quota_totals = [
+            cap and cap * self.quota_ratio(cap, demand, proxies)
+            for cap, demand in zip(self.caps, self.demand, strict=True)
         ]
         yield (
             "note",
-            f"C {self.capacity or 0:.0f} heard {[round(h) for h in self.demand]} "
-            f"tried {self.tried:.0f} acked {self.acked:.0f} "
-            f"lat {self.latency / 1000:.0f} calm {self.calm_latency / 1000:.0f} "
-            f"err {self.errors:.2f} caps {[cap and round(cap) for cap in self.caps]}",
+            f"C {self.capacity or 0:.0f} heard {[round(demand) for demand in self.demand]} "
+            f"tried {self.tried_rate:.0f} acked {self.acked:.0f} "
+            f"lat {self.latency / 1000:.0f} calm {self.baseline_latency / 1000:.0f} "
+            f"err {self.error_fraction:.2f} caps {[cap and round(cap) for cap in self.caps]}",
         )
 
-    def fill(self, heard, capacity):
-        """Weighted water filling: what one op type cannot use passes to the others by weight, in turn."""
-        budget = (1 - HEADROOM) * capacity
+    def fill_caps(self, demand, capacity):
+        """The cap of each op type, None where it needs none, by weighted water filling: the part of the
+        budget that one op type can't use is passed to the others by weight, repeatedly."""
+        budget = (1 - HEADROOM_FRACTION) * capacity
         weights = [
-            max(d, 0.1) * o.earnings**EARNINGS_POWER for o, d in zip(self.op_types, heard, strict=True)
+            max(d, 0.1) * o.earnings**EARNINGS_EXPONENT for o, d in zip(self.op_types, demand, strict=True)
         ]
-        least, left = LEAST_CAP * budget / len(heard), list(range(len(heard)))
-        while left:
-            level = budget / sum(weights[k] for k in left)
-            sated = [k for k in left if heard[k] * (1 + RHO) <= level * weights[k]]
-            if not sated:
+        min_cap = MIN_CAP_FRACTION * budget / len(demand)
+        unfilled = list(range(len(demand)))
+        while unfilled:
+            water_level = budget / sum(weights[k] for k in unfilled)
+            filled = [k for k in unfilled if demand[k] * (1 + CAP_MARGIN) <= water_level * weights[k]]
+            if not filled:
                 break
-            budget = max(budget - sum(heard[k] for k in sated) * (1 + RHO), 0.0)
-            left = [k for k in left if k not in sated]
-        return [max(level * weights[k], least) if k in left else None for k in range(len(heard))]
-
-    def stretch(self, cap, heard, proxies):
-        """Quotas against what they let in. A quota is taken as a bucket that holds what it renews in a cycle,
-        and one op at least, to which ops come by chance: what finds it empty is turned away, also where the
-        quota is all that comes, so that a proxy with an op now and then would turn half of them away. Harm:
-        proxies that save more let in more than the cap."""
-        let_in, ops = min(cap / max(heard, 0.1), 0.95), heard / max(proxies, 1)
-        low, high = 0.0, 64.0  # what comes against what the quota renews
+            budget = max(budget - sum(demand[k] for k in filled) * (1 + CAP_MARGIN), 0.0)
+            unfilled = [k for k in unfilled if k not in filled]
+        return [max(water_level * weights[k], min_cap) if k in unfilled else None for k in range(len(demand))]
+
+    def quota_ratio(self, cap, demand, proxies):
+        """The ratio of an op type's quotas to its cap, so that the quotas admit as many ops as the cap says.
+
+        A proxy enforces its quota by a token bucket that holds what is renewed in a cycle of reports, at
+        least one op. As ops arrive at random, some find the bucket empty and are rejected even where the
+        quota equals the arrival rate: a proxy with few ops would reject half of them. The ratio is found by
+        bisection. Drawback: where proxies have larger buckets, more than the cap is admitted."""
+        admitted = min(cap / max(demand, 0.1), 0.95)  # wanted fraction of the ops
+        ops = demand / max(proxies, 1)
+        low = 0.0  # range of the arrival rate over the rate of renewal
+        high = 64.0
         for _ in range(16):
             load = (low + high) / 2
-            holds = min(max(1.0, ops / load * self.cycle / SECOND), 100.0)
-            part = (1 - load**holds) / (1 - load ** (holds + 1)) if load != 1 else holds / (holds + 1)
-            low, high = (load, high) if part > let_in else (low, load)
-        return 1 / (let_in * high)
+            bucket_size = min(max(1.0, ops / load * self.cycle / SECOND), 100.0)
+            # Fraction of random arrivals that a queue of this size accepts.
+            accepted = (
+                (1 - load**bucket_size) / (1 - load ** (bucket_size + 1))
+                if load != 1
+                else bucket_size / (bucket_size + 1)
+            )
+            low, high = (load, high) if accepted > admitted else (low, load)
+        return 1 / (admitted * high)
 
     # Tables and the channel
 
-    def shared_table(self):
-        """The weight of every server that may be picked; at first its kind's, by the list's word of its size.
+    def compute_shared_table(self):
+        """The weight of every server that may be picked. A new server gets the mean weight of its kind,
+        scaled by its listed weight.
 
-        A cold one gets what it surely can do: none before its first burst fits, and less or none while tries
-        fail across the fleet, when proxies shun other lines and what is left of a table gets all. Without a
-        warm one none is distrusted: all of a proxy's load would push a cold one over. Harm: after a crash of
-        many servers the rest carry the load some seconds longer."""
-        candidates, table = self.open_servers(), {}
+        A cold server gets what it can safely do: nothing until its first burst fits, and less or nothing
+        while tries fail across the fleet, since proxies then eject other lines and all ops go to the
+        remaining ones. If no server is warm, none is withdrawn: the whole load of a proxy would overload a
+        cold one. Drawback: after many servers crash, the others carry the load a few seconds longer."""
+        candidates = self.open_servers()
+        table = {}
         for server in candidates:
             if server.weight is None:
-                like = [s for s in self.servers.values() if s.weight and s.kind == server.kind]
-                server.weight = fmean([s.weight / s.size for s in like] or [1.0]) * server.size
+                same_kind = [s for s in self.servers.values() if s.weight and s.kind == server.kind]
+                server.weight = (
+                    fmean([s.weight / s.listed_weight for s in same_kind] or [1.0]) * server.listed_weight
+                )
             warmth = self.warmth(server)
-            part = warmth if warmth == 1 else warmth * (1 - self.failing / COLD_FAILING)
-            if part >= COLD_ENTRY and server.trust:
-                table[server] = server.weight * part * server.trust
-        warm = any(self.warmth(s) == 1 for s in table)
-        return table if warm else {s: s.weight * self.warmth(s) for s in candidates}
+            fraction = (
+                warmth
+                if warmth == 1
+                else warmth * (1 - self.fleet_aborted_fraction / COLD_STOP_ABORTED_FRACTION)
+            )
+            if fraction >= MIN_COLD_FRACTION and server.health_factor:
+                table[server] = server.weight * fraction * server.health_factor
+        any_warm = any(self.warmth(s) == 1 for s in table)
+        return table if any_warm else {s: s.weight * self.warmth(s) for s in candidates}
 
     def standing(self):
-        """What advice goes by: (weight in the shared table, its usual one, what it surely can do of that)."""
-        known = self.open_servers()
-        return {s.ident: (self.want.get(s, 0.0), s.weight or s.size, self.warmth(s)) for s in known}
-
-    def room(self, proxy, lines, calm):
-        """Whether the limits on messages and waiting lines take so many more, the channel being at `pace`."""
-        sent = (self.now - self.waiting_at) / SECOND * self.site.get("lines_per_s", 1000) * self.pace
-        self.waiting, self.waiting_at = max(0.0, self.waiting - sent), self.now
-        most = self.site.get("messages_most", 0)
-        return self.waiting + lines <= (ROOM if calm else 0.9) * self.site.get("backlog", 1000) and (
-            not most or proxy.messages.sums(self.now)[0] + 1 <= (0.6 if calm else 0.95) * most
+        """For each open server: (weight in the shared table, usual weight, fraction of it that it can safely
+        do). Weight advice is computed from this."""
+        open_servers = self.open_servers()
+        return {
+            s.ident: (self.shared_table.get(s, 0.0), s.weight or s.listed_weight, self.warmth(s))
+            for s in open_servers
+        }
+
+    def channel_has_room(self, proxy, lines, can_wait):
+        """Whether the limits on waiting lines and on messages to the proxy allow so many more lines, by the
+        estimated speed of the channel."""
+        sent = (
+            (self.now - self.channel_updated_at)
+            / SECOND
+            * self.site.get("lines_per_s", 1000)
+            * self.channel_speed_factor
+        )
+        self.channel_lines = max(0.0, self.channel_lines - sent)
+        self.channel_updated_at = self.now
+        max_messages = self.site.get("messages_most", 0)
+        return self.channel_lines + lines <= (
+            DEFERRABLE_BACKLOG_FRACTION if can_wait else 0.9
+        ) * self.site.get("backlog", 1000) and (
+            not max_messages
+            or proxy.messages.sums(self.now)[0] + 1 <= (0.6 if can_wait else 0.95) * max_messages
         )
 
     def table_size(self, proxy):
-        """How many lines of the shared table a proxy holds: all on a small fleet. On a large one the site's
-        own number, or by its part of the ops so many that no server gets its whole burst, more as the channel
-        takes them, none that its ops do not keep connected. Harm: a proxy that turns hot waits for lines."""
-        part, head = proxy.total / max(self.crew_total, 0.1), self.site.get("head", 0)
-        least = max(self.site.get("standing", 6), SPREAD * part * len(self.want))
-        spare = TABLES * self.site.get("backlog", 1000) / max(len(self.crew), 1) - head - least
-        kept = KEPT * proxy.total * self.site.get("keepalive", 15 * SECOND) / SECOND
-        return min(len(self.want), max(ceil(self.breadth * max(min(kept, least + spare), least)), 2))
-
-    def crowd(self, server):
-        return (server.cover + 0.01) / self.want[server]
+        """How many lines of the shared table a proxy holds: all on a small fleet.
+
+        On a large fleet it is at least the site's number, and by the proxy's fraction of all ops so many that
+        no server gets all of its bursts; more as far as the channel allows, but none that its ops are too few
+        to keep connected. Drawback: a proxy whose rate rises suddenly has to wait for lines."""
+        proxy_fraction = proxy.total_rate / max(self.active_rate, 0.1)
+        head = self.site.get("head", 0)
+        min_lines = max(self.site.get("standing", 6), SPREAD_FACTOR * proxy_fraction * len(self.shared_table))
+        spare = (
+            TABLES_BACKLOG_FRACTION * self.site.get("backlog", 1000) / max(len(self.active_proxies), 1)
+            - head
+            - min_lines
+        )
+        connected = (
+            LINES_PER_KEEPALIVE_OP * proxy.total_rate * self.site.get("keepalive", 15 * SECOND) / SECOND
+        )
+        return min(
+            len(self.shared_table),
+            max(ceil(self.table_fraction * max(min(connected, min_lines + spare), min_lines)), 2),
+        )
+
+    def relative_load(self, server):
+        """Ops that the tables send to a server, relative to its weight."""
+        return (server.assigned_rate + 0.01) / self.shared_table[server]
 
     def rank_servers(self):
-        """The servers of each zone as a heap, the least crowded first: what one proxy's table takes is found
-        without a look at all of them. An entry that has become untrue is put right as it comes up."""
-        self.ranks, self.turns = {}, count()  # a turn of its own for each entry: servers have no order
-        for server in self.want:
-            self.ranks.setdefault(server.zone, []).append((self.crowd(server), next(self.turns), server))
-        for heap in self.ranks.values():
+        """Makes a heap of each zone's servers, the lowest relative load first, so that the servers for a
+        proxy's table are found without a look at all of them. An outdated entry is corrected when it is
+        popped."""
+        self.heaps = {}
+        self.tie_breakers = count()  # a number for each entry, since servers can't be compared
+        for server in self.shared_table:
+            self.heaps.setdefault(server.zone, []).append(
+                (self.relative_load(server), next(self.tie_breakers), server)
+            )
+        for heap in self.heaps.values():
             heapify(heap)
 
-    def least_crowded(self, proxy, number):
-        """So many servers that a proxy holds no line of, near ones before those of other zones."""
+    def least_loaded(self, proxy, number):
+        """Up to `number` servers that a proxy holds no line of, the lowest relative load first; that of
+        servers in other zones is counted as higher."""
         found = []
-        for zone, heap in self.ranks.items():
-            seen, left = {}, number
-            while heap and left > 0:
-                crowd, turn, server = heappop(heap)
-                if crowd != self.crowd(server):
-                    heappush(heap, (self.crowd(server), turn, server))
+        for zone, heap in self.heaps.items():
+            seen = {}
+            needed = number
+            while heap and needed > 0:
+                load, tie_breaker, server = heappop(heap)
+                if load != self.relative_load(server):
+                    heappush(heap, (self.relative_load(server), tie_breaker, server))
                 elif server not in seen:
-                    seen[server] = crowd, turn, server
+                    seen[server] = load, tie_breaker, server
                     if server not in proxy.lines:
-                        left -= 1
-                        found.append((crowd * (1 if zone == proxy.zone else CROSSING), turn, server))
+                        needed -= 1
+                        found.append(
+                            (load * (1 if zone == proxy.zone else CROSS_ZONE_FACTOR), tie_breaker, server)
+                        )
             for entry in seen.values():
                 heappush(heap, entry)
         return [server for *_, server in nsmallest(number, found)]
 
-    def line_changes(self, proxy, tick):
-        """What brings a proxy's part of the shared table up to date: 0 removes a line. Its servers are those
-        that the tables bring the fewest ops against their weight, near ones before those of other zones."""
-
-        def crowded(server):
-            return self.crowd(server) * (1 if server.zone == proxy.zone else CROSSING)
-
-        want, size = self.want, self.table_size(proxy)
-        changed = {s: 0 for s in proxy.lines if s not in want}
-        held = [s for s in proxy.lines if s in want]
-        off = [s for s in held if abs(proxy.lines[s] / want[s] - 1) > OFF_BY]
-        if off and (tick or any(proxy.lines[s] > 1.5 * want[s] and self.warmth(s) < 1 for s in off)):
-            changed.update((s, want[s]) for s in held if abs(proxy.lines[s] / want[s] - 1) > OFF_BY / 2)
-        grow = len(held) < size / CROWDED or changed or not proxy.bound
-        added = self.least_crowded(proxy, size - len(held)) if grow else []
-        if tick and len(held) > size * CROWDED:
-            changed.update((s, 0) for s in sorted(held, key=crowded)[size:])
-        elif tick and held and not added and (others := self.least_crowded(proxy, 1)):
-            worst = max(held, key=crowded)
-            if crowded(worst) > CROWDED * crowded(others[0]):
-                changed[worst], added = 0, others
-        changed.update((s, want[s]) for s in added)
-        ops = proxy.total / max(sum(proxy.lines.values()) + sum(want[s] for s in added), 0.01)
+    def line_changes(self, proxy, period_ended):
+        """Server -> new weight (0: remove the line) that brings a proxy's table up to date with its part of
+        the shared table. Servers with the lowest relative load are chosen, and those of its own zone
+        preferred."""
+
+        def load_for_proxy(server):
+            return self.relative_load(server) * (1 if server.zone == proxy.zone else CROSS_ZONE_FACTOR)
+
+        weights = self.shared_table
+        size = self.table_size(proxy)
+        changed = {s: 0 for s in proxy.lines if s not in weights}
+        held = [s for s in proxy.lines if s in weights]
+        outdated = [s for s in held if abs(proxy.lines[s] / weights[s] - 1) > UPDATE_THRESHOLD]
+        if outdated and (
+            period_ended or any(proxy.lines[s] > 1.5 * weights[s] and self.warmth(s) < 1 for s in outdated)
+        ):
+            changed.update(
+                (s, weights[s]) for s in held if abs(proxy.lines[s] / weights[s] - 1) > UPDATE_THRESHOLD / 2
+            )
+        may_add = len(held) < size / IMBALANCE_RATIO or changed or not proxy.bound
+        added = self.least_loaded(proxy, size - len(held)) if may_add else []
+        if period_ended and len(held) > size * IMBALANCE_RATIO:
+            changed.update((s, 0) for s in sorted(held, key=load_for_proxy)[size:])
+        elif period_ended and held and not added and (others := self.least_loaded(proxy, 1)):
+            most_loaded = max(held, key=load_for_proxy)
+            if load_for_proxy(most_loaded) > IMBALANCE_RATIO * load_for_proxy(others[0]):
+                changed[most_loaded] = 0
+                added = others
+        changed.update((s, weights[s]) for s in added)
+        ops = proxy.total_rate / max(sum(proxy.lines.values()) + sum(weights[s] for s in added), 0.01)
         for server, weight in changed.items():
-            server.cover += ops * (weight - proxy.lines.get(server, 0.0))
-            if weight < proxy.lines.get(server, 0.0) and server in want:  # less crowded than its entry says
-                heappush(self.ranks[server.zone], (self.crowd(server), next(self.turns), server))
+            server.assigned_rate += ops * (weight - proxy.lines.get(server, 0.0))
+            if weight < proxy.lines.get(server, 0.0) and server in weights:
+                # Its load is now lower than that of its entry in the heap.
+                heappush(
+                    self.heaps[server.zone], (self.relative_load(server), next(self.tie_breakers), server)
+                )
         return changed
 
-    def update_proxies(self, tick):
-        """Brings the proxies' tables up to the shared one; changes only, one message a proxy.
+    def update_proxies(self, period_ended):
+        """Brings the proxies' tables up to the shared one, by changes only and with one message for a proxy.
 
-        Rule-bound changes and joiners go at once; the rest once a period, as the channel has room, what moves
-        most ops first, counted again for each period that it has waited."""
-        head, work = self.site.get("head", 0), []
+        Changes that a rule requires and joining proxies are sent at once. The rest is sent once a period as
+        far as the channel has room, the changes that move most ops first; their priority rises with each
+        period for which they were deferred."""
+        head = self.site.get("head", 0)
+        work = []
         for server in self.servers.values():
-            if server not in self.want:
-                self.urgent.update(server.holders)
-        for proxy in self.crew if tick else [p for p in self.urgent if p.joined]:
-            changed, levels = self.line_changes(proxy, tick), self.level_changes(proxy)
-            calm = proxy not in self.urgent
+            if server not in self.shared_table:
+                self.urgent_proxies.update(server.holders)
+        for proxy in self.active_proxies if period_ended else [p for p in self.urgent_proxies if p.joined]:
+            changed = self.line_changes(proxy, period_ended)
+            levels = self.level_changes(proxy)
+            can_wait = proxy not in self.urgent_proxies
             if changed or levels or not proxy.bound:
                 moved = sum(abs(weight - proxy.lines.get(s, 0)) for s, weight in changed.items())
                 moved = moved / max(sum(proxy.lines.values()), 0.01) + len(levels)
-                worth = proxy.total * moved * (1 + proxy.waited)
-                work.append((calm, -worth, len(work), proxy, changed, levels))
+                priority = proxy.total_rate * moved * (1 + proxy.periods_deferred)
+                work.append((can_wait, -priority, len(work), proxy, changed, levels))
             else:
-                self.urgent.pop(proxy, None)
-        for calm, _, _, proxy, changed, levels in sorted(work, key=lambda item: item[:3]):
+                self.urgent_proxies.pop(proxy, None)
+        for can_wait, _, _, proxy, changed, levels in sorted(work, key=lambda item: item[:3]):
             cost = head + len(changed) + len(levels)
-            if not calm and proxy.bound and not self.room(proxy, cost, True):
-                # The channel is short: no more than the rules demand, the rest when it can wait its turn.
-                less = {s: weight for s, weight in changed.items() if weight < proxy.lines.get(s, 0)}
-                if any(less.get(s, 1) for s in proxy.lines):
-                    changed, levels, cost = less, [], head + len(less)
+            if not can_wait and proxy.bound and not self.channel_has_room(proxy, cost, True):
+                # The channel is short of room: only what the rules require is sent now, the rest later.
+                required = {s: weight for s, weight in changed.items() if weight < proxy.lines.get(s, 0)}
+                if any(required.get(s, 1) for s in proxy.lines):
+                    changed = required
+                    levels = []
+                    cost = head + len(required)
             if not proxy.bound:
                 cost = head + 2 + len(proxy.lines) + len(changed) + 2 * len(self.op_types)
-            if not self.room(proxy, cost, calm):
-                proxy.waited += 1
-                self.pressing = self.pressing or not calm
+            if not self.channel_has_room(proxy, cost, can_wait):
+                proxy.periods_deferred += 1
+                self.has_urgent_changes = self.has_urgent_changes or not can_wait
                 continue
-            self.waiting, proxy.waited = self.waiting + cost, 0
-            self.urgent.pop(proxy, None)
+            self.channel_lines = self.channel_lines + cost
+            proxy.periods_deferred = 0
+            self.urgent_proxies.pop(proxy, None)
             proxy.messages.add(self.now, 1)
             for server, weight in changed.items():
                 yield ("weigh", proxy.ident, server.ident, round(weight, 4))
@@ -654,42 +890,50 @@
                     server.holders[proxy] = None
                 else:
                     del proxy.lines[server], server.holders[proxy]
-            for mask, quota, tries, places in levels:
+            for mask, quota, tries, indexes in levels:
                 yield ("admit", proxy.ident, mask, round(quota, 3), tries)
-                for place in places:
-                    proxy.levels[place] = (quota, tries)
+                for index in indexes:
+                    proxy.levels[index] = (quota, tries)
             if not proxy.bound:
                 proxy.bound = True
-                yield ("bind", proxy.ident, proxy.ident, 0)  # a proxy's own table bears its number
-        if work and tick:
-            self.marked = self.waiting
+                yield ("bind", proxy.ident, proxy.ident, 0)  # a proxy's own table has the id of the proxy
+        if work and period_ended:
+            self.channel_lines_at_mark = self.channel_lines
             yield ("mark", next(self.counter) % 65536, False)
 
-    def part(self, own, usual, total):
-        """A proxy's part of an op type's ops, by those of the last while, as so many more would be that came
-        as they usually do. Guards against quotas that follow chance where ops are few a proxy: the next comes
-        where none was. Harm: a proxy that turns hot is let in less for as long as its ops are that few."""
-        seen = own * 8 * self.cycle / SECOND
-        expected = max(usual * total, 0.01)
-        return (THIN + seen) / (THIN / expected + 8 * self.cycle / SECOND) / max(total, 0.01)
+    def proxy_share(self, proxy_rate, usual_share, demand):
+        """A proxy's share of an op type's ops: by its recent ops, with PRIOR_OPS ops at its usual rate added.
+        Guards against quotas that follow random variation where a proxy has few ops, as the next op then
+        comes to a proxy that had none. Drawback: a proxy whose rate rises suddenly admits less for a
+        while."""
+        recent_ops = proxy_rate * 8 * self.cycle / SECOND
+        expected = max(usual_share * demand, 0.01)
+        return (PRIOR_OPS + recent_ops) / (PRIOR_OPS / expected + 8 * self.cycle / SECOND) / max(demand, 0.01)
 
     def level_changes(self, proxy):
-        """Quota and further tries that differ enough from those ordered, equal ones in one line."""
-        if not self.binding and all(level is None for level in proxy.levels):
+        """(mask, quota, tries, indexes of op types) for each level that differs enough from the ordered one;
+        op types with equal quotas and tries are one entry."""
+        if not self.caps_active and all(level is None for level in proxy.levels):
             return []
-        kind, tries = self.site.get("level", "none"), 0 if self.binding else self.site.get("usual_tries", 0)
-        usual, grouped = proxy.rate / max(self.rates, 0.1), {}
-        told = zip(proxy.ops, self.demand, self.caps, self.quotas, strict=True)
-        for place, (own, total, cap, quotas) in enumerate(told):
-            quota = OPEN if kind == "rate" else 1.0
-            if cap is not None and kind == "rate":
-                quota = quotas * self.part(own, usual, total)
-            elif cap is not None and kind == "share":
-                quota = min(1.0, cap / max(total, 0.1))
-            ordered = proxy.levels[place]
-            if ordered is None or ordered[1] != tries or abs(ordered[0] - quota) > OFF_BY * ordered[0]:
-                grouped.setdefault((quota, tries), []).append(place)
+        level_kind = self.site.get("level", "none")
+        tries = 0 if self.caps_active else self.site.get("usual_tries", 0)
+        usual_share = proxy.stated_rate / max(self.usual_rate, 0.1)
+        grouped = {}
+        rates = zip(proxy.op_rates, self.demand, self.caps, self.quota_totals, strict=True)
+        for index, (proxy_rate, demand, cap, quota_total) in enumerate(rates):
+            quota = UNLIMITED_RATE if level_kind == "rate" else 1.0
+            if cap is not None and level_kind == "rate":
+                quota = quota_total * self.proxy_share(proxy_rate, usual_share, demand)
+            elif cap is not None and level_kind == "share":
+                quota = min(1.0, cap / max(demand, 0.1))
+            ordered = proxy.levels[index]
+            if (
+                ordered is None
+                or ordered[1] != tries
+                or abs(ordered[0] - quota) > UPDATE_THRESHOLD * ordered[0]
+            ):
+                grouped.setdefault((quota, tries), []).append(index)
         return [
-            (sum(1 << place for place in places), quota, tries, places)
-            for (quota, tries), places in grouped.items()
+            (sum(1 << index for index in indexes), quota, tries, indexes)
+            for (quota, tries), indexes in grouped.items()
         ]
--- a/foxstep/fleet.py
+++ b/foxstep/fleet.py
@@ -1,89 +1,96 @@
-"""Plain state: servers, proxies, op types, and the ring of time buckets they are measured in."""
+"""Plain state: servers, proxies, op types, and the sliding windows of time buckets they are measured in."""
 
 
-class Ring:
-    """Sums of a few quantities over time, in `count` buckets of `width` microseconds that are used again."""
+class SlidingWindow:
+    """Sums of a few quantities over recent time, kept in a ring buffer of time buckets.
 
-    def __init__(self, width, count, quantities):
-        self.width, self.count = max(1, width), count
-        self.turn = [-1] * count
-        self.buckets = [[0.0] * quantities for _ in range(count)]
+    There are `bucket_count` buckets of `bucket_width` microseconds each; the oldest one is used again.
+    """
+
+    def __init__(self, bucket_width, bucket_count, quantities):
+        self.bucket_width, self.bucket_count = max(1, bucket_width), bucket_count
+        self.bucket_numbers = [-1] * bucket_count  # since time 0, for each bucket; -1: never used
+        self.buckets = [[0.0] * quantities for _ in range(bucket_count)]
 
     def add(self, now, *amounts):
-        turn = now // self.width
-        place = turn % self.count
-        bucket = self.buckets[place]
-        if self.turn[place] != turn:
-            self.turn[place] = turn
+        """Adds one amount for each quantity to the bucket of the time `now`."""
+        number = now // self.bucket_width
+        index = number % self.bucket_count
+        bucket = self.buckets[index]
+        if self.bucket_numbers[index] != number:
+            self.bucket_numbers[index] = number
             bucket[:] = [0.0] * len(bucket)
         for k, amount in enumerate(amounts):
             bucket[k] += amount
 
     def sums(self, now, buckets=0, since=0):
-        """Totals over the newest `buckets` buckets (all if 0), those that began before `since` left out."""
-        newest = now // self.width
-        oldest = max(newest - (buckets or self.count) + 1, -(-since // self.width))
+        """Totals over the newest `buckets` buckets (0: all), without those that began before `since`."""
+        newest = now // self.bucket_width
+        oldest = max(newest - (buckets or self.bucket_count) + 1, -(-since // self.bucket_width))
         total = [0.0] * len(self.buckets[0])
-        for turn, bucket in zip(self.turn, self.buckets, strict=True):
-            if oldest <= turn <= newest:
+        for number, bucket in zip(self.bucket_numbers, self.buckets, strict=True):
+            if oldest <= number <= newest:
                 for k, amount in enumerate(bucket):
                     total[k] += amount
         return total
 
 
 class OpType:
-    """One type of op: what it earns, how soon it must be answered, what may be repeated."""
+    """One type of op: its earnings, target latency and timeout, and whether it may be retried.
+
+    `fields` is the map of its settings, `index` its position in the settings' list. Times are microseconds.
+    """
 
-    def __init__(self, place, facts):
-        self.place = place
-        self.name = facts["name"]
-        self.earnings = facts["earnings"]
-        self.target_latency = facts["target_latency"]
-        self.op_timeout = facts["op_timeout"]
-        self.effect = facts["effect"]
-        self.scope = facts.get("scope", "all")
-        self.window = facts.get("window", 0)
+    def __init__(self, index, fields):
+        self.index = index
+        self.name = fields["name"]
+        self.earnings = fields["earnings"]
+        self.target_latency = fields["target_latency"]
+        self.op_timeout = fields["op_timeout"]
+        self.effect = fields["effect"]  # "retryable", "deduplicated" or "once-only"
+        self.scope = fields.get("scope", "all")
+        self.window = fields.get("window", 0)
 
 
 class Server:
-    """A server as the list names it and as its tries, reports and probes show it."""
+    """A server as the list describes it and as its tries, load reports and probes show it."""
 
     def __init__(self, ident):
         self.ident = ident
         self.zone = self.kind = ""
         self.cell = 0
         self.state = "gone"  # "open", "draining" or "gone", as listed
-        self.gone_at = None  # since when it is gone
-        self.size = 1.0  # as listed: a number to compare with the others'
+        self.gone_at = None  # when it was first listed as gone; None: it is not gone
+        self.listed_weight = 1.0  # relative to the other servers
         self.started = 0  # when it last started; 0: long ago
-        self.weight = None  # its part in the shared table, learnt; None: not yet placed
-        self.trust = 1.0  # 1: trusted; 0: withdrawn; between: on trial
-        self.trust_since = 0
+        self.weight = None  # in the shared table, as learnt; None: not yet assigned
+        self.health_factor = 1.0  # of its weight; 1: healthy, 0: withdrawn, between: on trial
+        self.health_changed_at = 0
         self.strikes = 0  # how often it was withdrawn since it started
-        self.aborted_part = None  # of its recent tries; None: too few
-        self.probes_good = self.probes_bad = 0
-        self.probe_out = 0  # when the probe under way was sent; 0: none is
-        self.tries = None  # Ring: tries, aborted, acked, their total latency
-        self.loads = None  # Ring: reports, busy, holding
-        self.tried, self.loaded = [0.0] * 4, [0.0] * 3  # recent sums of these two
-        self.slower = 1.0  # the wait of its tries against the fleet's
-        self.holders = {}  # the proxies that hold a line of it, as a set in order
-        self.cover = 0.0  # ops a second that the ordered tables bring it
+        self.aborted_fraction = None  # of its recent tries; None: too few tries
+        self.probe_successes = self.probe_failures = 0  # in a row
+        self.probe_sent_at = 0  # of the probe under way; 0: none is
+        self.tries = None  # SlidingWindow: tries, aborted, acked, total latency of the acked ones
+        self.loads = None  # SlidingWindow: reports, sum of busy, sum of waiting or held ops
+        self.recent_tries, self.recent_loads = [0.0] * 4, [0.0] * 3  # recent sums of these two
+        self.latency_ratio = 1.0  # mean latency of its tries over the fleet's
+        self.holders = {}  # the proxies that hold a line of it, as an ordered set
+        self.assigned_rate = 0.0  # ops a second that the ordered tables send to it
 
 
 class Proxy:
-    """A proxy, what came to it, and what it was last ordered to hold."""
+    """A proxy, its measured traffic, and the table it was last ordered to hold."""
 
     def __init__(self, ident, usage):
         self.ident = ident
         self.zone = ""
-        self.rate = 0.0  # ops a second it usually gets, as told
-        self.total = 0.0  # and as heard
-        self.since = 0  # when it joined
+        self.stated_rate = 0.0  # ops a second that it usually gets, as stated when it joined
+        self.total_rate = 0.0  # ops a second of all types, as measured
+        self.joined_at = 0
         self.joined = self.bound = False
-        self.lines = {}  # Server -> weight ordered
-        self.levels = []  # per op type: (quota, tries) ordered, None: never set
-        self.usage = usage  # per op type a Ring: ops, unanswered, time covered
-        self.ops = []  # per op type the recent ops a second
-        self.waited = 0  # periods since changes for it were put off
-        self.messages = None  # Ring: messages written
+        self.lines = {}  # Server -> weight as ordered
+        self.levels = []  # for each op type (quota, tries) as ordered; None: never set
+        self.usage = usage  # for each op type a SlidingWindow: ops, unanswered, time covered
+        self.op_rates = []  # recent ops a second of each op type
+        self.periods_deferred = 0  # for how many periods its changes have been put off
+        self.messages = None  # SlidingWindow: messages written
