--- a/foxstep/advice/__init__.py
+++ b/foxstep/advice/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on weight advice: who has registered what, which weights it gets, when it is told. No I/O."""
+"""Weight advice: which balancers have registered which groups, their weights, when they are sent. No I/O."""
--- a/foxstep/advice/advice.py
+++ b/foxstep/advice/advice.py
@@ -1,21 +1,25 @@
-"""Which balancers are told of new weights, when, and which. No I/O, no clock.
+"""Decides which balancers are sent new weights, when, and which weights. No I/O, no clock.
 
-The shared table of the module is the only source of weights (`standing`, see `weigh`). What a rule asks for
-(a server that left, a cold one that has too much, a group without a line) is told at once, the rest once a
-period and only as far as the channel has room that the ordinary tables do not need.
+The decision module's shared table is the only source of weights (its `standing()`, see `weigh`). Changes that
+a rule requires (a server that left, a cold one that has too much weight, a group without a weight) are sent
+at once. The rest is sent once a period, and only as far as the channel has room that the ordinary tables do
+not need. Times are whole microseconds.
 """
 
-from foxstep.advice.weigh import advise, whole_system
+from foxstep.advice.weigh import group_weights, whole_system
 
-OFF_BY = 0.1  # a weight is told when it is this far off, as the ordinary tables have it
-COLD_OFF_BY = 0.5  # of a cold server, when this far above what it should be: at once
-RULE, FRESH, CALM = 0.9, 0.5, 0.2  # parts of the backlog up to which lines may wait: with what a rule asks
-# for, with all that a balancer newly asked for, with what can wait
-MOST = 0.4  # part of the backlog that one balancer's members may come to: they go out at once
+UPDATE_THRESHOLD = 0.1  # relative difference from which a weight is sent, the same as for ordinary tables
+COLD_EXCESS_THRESHOLD = 0.5  # relative excess of a cold server's weight from which it is sent at once
+# Fractions of the channel's backlog up to which lines may wait once a message has been added.
+REQUIRED_BACKLOG_FRACTION = 0.9  # for changes that a rule requires
+REGISTERED_BACKLOG_FRACTION = 0.5  # for all lines of a balancer that has changed its groups
+DEFERRABLE_BACKLOG_FRACTION = 0.2  # for changes that can wait
+# Of the backlog, for all members of one balancer, since they are sent at once.
+MAX_BALANCER_FRACTION = 0.4
 
 
 def key(group, server):
-    """A line's name in a balancer's table: groups are door ids, which have no blank."""
+    """The name of a line in a balancer's table. Group ids have no blank."""
     return f"{group} {server}"
 
 
@@ -25,104 +29,139 @@
     return group, server
 
 
-class Roll:
-    """A balancer that is joined, and what it is told."""
+class AdvisedBalancer:
+    """A connected balancer and the weights that it was last sent."""
 
     def __init__(self):
-        self.groups, self.lines = {}, {}  # group -> {server: no new work asked}; line -> weight, 0: none
-        self.fresh, self.calm_at = True, 0  # its groups were read anew; when what can wait may be told
+        self.groups = {}  # group -> {server: whether it asked for no new work}
+        self.lines = {}  # line name -> weight, 0: none
+        self.groups_changed = True  # since it was last sent weights
+        self.deferrable_at = 0  # from when it may be sent changes that can wait
 
 
 class Advice:
+    """The weight advice for all connected balancers. `site` is the plain map of the settings."""
+
     def __init__(self, site):
-        self.head, self.backlog = site["head"], site["backlog"]
+        self.head = site["head"]
+        self.backlog = site["backlog"]
         self.period = 2 * site["cycle"]
-        self.rolls, self.standing, self.picture, self.look_at = {}, None, None, 0
-        self.left_over = {}  # balancers that are still to be looked at, as a set in order
+        self.rolls = {}  # by the balancer's id
+        self.server_weights = None  # as of the last check; None: no list has been received yet
+        self.availability = (
+            None  # server -> (whether it may be picked, whether it is warm), at the last check
+        )
+        self.next_check_at = 0
+        self.pending = {}  # balancers that still have to be checked, as an ordered set
 
-    # -- what comes in
+    # -- inputs
 
     def enroll(self, ident, groups):
-        """`groups`: group -> {server: whether it asked for no new work}, all that the balancer has."""
-        roll = self.rolls.setdefault(ident, Roll())
-        roll.groups, roll.fresh, self.left_over[ident] = groups, True, None
+        """Sets all groups of a balancer: group -> {server: whether it asked for no new work}."""
+        balancer = self.rolls.setdefault(ident, AdvisedBalancer())
+        balancer.groups = groups
+        balancer.groups_changed = True
+        self.pending[ident] = None
 
     def most_lines(self):
-        return int(MOST * self.backlog)
+        """The maximum number of members of one balancer."""
+        return int(MAX_BALANCER_FRACTION * self.backlog)
 
     def left(self, ident):
+        """A balancer's connection has ended."""
         self.rolls.pop(ident, None)
 
-    # -- what is decided
-
-    def meant(self, roll, standing):
-        """line -> weight for all of a roll's members; 0 for those that are to get nothing."""
-        made = {}
-        for group, members in roll.groups.items():
-            weights = advise(members, standing)
-            made.update((key(group, s), round(weights.get(s, 0), 4)) for s in members)
-        return made
-
-    def pressing(self, told, meant, standing):
-        """Whether a rule asks for the change: it cannot wait for its turn."""
-        fed = {parts(name)[0] for name, weight in told.items() if weight}
-        for name, weight in meant.items():
-            had = told.get(name, 0)
+    # -- decisions
+
+    def intended_lines(self, balancer, server_weights):
+        """line name -> weight for all members of a balancer; 0 for those that are to get no work."""
+        lines = {}
+        for group, members in balancer.groups.items():
+            weights = group_weights(members, server_weights)
+            lines.update((key(group, s), round(weights.get(s, 0), 4)) for s in members)
+        return lines
+
+    def is_required(self, sent, intended, server_weights):
+        """Whether a rule requires the change from the `sent` to the `intended` lines, so that it cannot
+        wait."""
+        groups_with_weight = {parts(name)[0] for name, weight in sent.items() if weight}
+        for name, weight in intended.items():
+            old_weight = sent.get(name, 0)
             group, server = parts(name)
-            if had and not weight or weight and group not in fed:
+            if old_weight and not weight or weight and group not in groups_with_weight:
                 return True
-            if had > weight * (1 + COLD_OFF_BY) and (whole_system(standing, server) or (0, 0, 1))[2] < 1:
+            if (
+                old_weight > weight * (1 + COLD_EXCESS_THRESHOLD)
+                and (whole_system(server_weights, server) or (0, 0, 1))[2] < 1
+            ):
                 return True
         return False
 
-    def due(self, now, standing, waiting):
-        """Names the balancers that are to be told now, one by one: their rolls' `lines` are then what they
-        are meant to hold. `waiting`: lines that wait in the channel. Nobody is told before a list came."""
-        if not standing and self.standing is None:
+    def due(self, now, server_weights, waiting):
+        """Yields the ids of the balancers that have to be sent weights now; their `lines` are then the
+        intended ones. `waiting`: lines that wait in the channel. Nothing is sent before a list has been
+        received."""
+        if not server_weights and self.server_weights is None:
             return
-        # Who may be picked, and who is warm, is looked at each time; how warm a cold one is, which changes
-        # all the time, twenty times a period.
-        picture = {server: (bool(weight), sure == 1) for server, (weight, _, sure) in standing.items()}
-        if picture == self.picture and now < self.look_at and not self.left_over:
+        # Which servers may be picked and which are warm is checked each time. How warm a cold one is changes
+        # all the time and is checked 20 times a period.
+        availability = {
+            server: (bool(weight), warm_fraction == 1)
+            for server, (weight, _, warm_fraction) in server_weights.items()
+        }
+        if availability == self.availability and now < self.next_check_at and not self.pending:
             return
-        rolls = self.left_over
-        if standing != self.standing:
-            rolls = dict.fromkeys(self.rolls)
-        self.standing, self.picture, self.left_over = standing, picture, {}
-        self.look_at = now + self.period // 20
-        for room, ident, lines, cost in self.changes(now, standing, rolls):
-            if waiting + cost > room * self.backlog:
-                self.left_over[ident] = None
+        idents = self.pending
+        if server_weights != self.server_weights:
+            idents = dict.fromkeys(self.rolls)
+        self.server_weights = server_weights
+        self.availability = availability
+        self.pending = {}
+        self.next_check_at = now + self.period // 20
+        for backlog_fraction, ident, lines, cost in self.changes(now, server_weights, idents):
+            if waiting + cost > backlog_fraction * self.backlog:
+                self.pending[ident] = None
                 continue
-            roll, waiting = self.rolls[ident], waiting + cost
-            roll.lines, roll.fresh = lines, False
-            roll.calm_at = now + self.period if lines else 0
+            balancer = self.rolls[ident]
+            waiting = waiting + cost
+            balancer.lines = lines
+            balancer.groups_changed = False
+            balancer.deferrable_at = now + self.period if lines else 0
             yield ident
 
-    def changes(self, now, standing, idents):
-        """(part of the backlog, balancer, its lines, cost) of all that are due, a rule's changes first."""
+    def changes(self, now, server_weights, idents):
+        """(fraction of the backlog, balancer, its lines, cost) of all that are due, required changes
+        first."""
         due = []
         for ident in idents:
-            roll = self.rolls.get(ident)
-            if roll is None:
+            balancer = self.rolls.get(ident)
+            if balancer is None:
                 continue
-            meant = self.meant(roll, standing)
-            room = CALM
-            if roll.fresh or self.pressing(roll.lines, meant, standing):
-                room = FRESH if roll.fresh else RULE
-            if room < RULE and now < roll.calm_at:
-                self.left_over[ident] = None
+            intended = self.intended_lines(balancer, server_weights)
+            backlog_fraction = DEFERRABLE_BACKLOG_FRACTION
+            if balancer.groups_changed or self.is_required(balancer.lines, intended, server_weights):
+                backlog_fraction = (
+                    REGISTERED_BACKLOG_FRACTION if balancer.groups_changed else REQUIRED_BACKLOG_FRACTION
+                )
+            if backlog_fraction < REQUIRED_BACKLOG_FRACTION and now < balancer.deferrable_at:
+                self.pending[ident] = None
                 continue
-            off = {n for n, w in meant.items() if abs(roll.lines.get(n, 0) - w) > OFF_BY * w}
-            if room == CALM and not off:
+            outdated = {
+                n for n, w in intended.items() if abs(balancer.lines.get(n, 0) - w) > UPDATE_THRESHOLD * w
+            }
+            if backlog_fraction == DEFERRABLE_BACKLOG_FRACTION and not outdated:
                 continue
-            # With a message under way anyhow, what is half as far off goes along.
+            # As a message is sent anyway, weights that differ by half the threshold are included.
             lines = {
                 n: w
-                if abs(roll.lines.get(n, 0) - w) > OFF_BY / 2 * w or n not in roll.lines
-                else roll.lines[n]
-                for n, w in meant.items()
+                if abs(balancer.lines.get(n, 0) - w) > UPDATE_THRESHOLD / 2 * w or n not in balancer.lines
+                else balancer.lines[n]
+                for n, w in intended.items()
             }
-            changed = len(lines) if roll.fresh else sum(roll.lines.get(n) != w for n, w in lines.items())
-            due.append((room, ident, lines, self.head + changed))
-        return sorted(due, key=lambda one: -one[0])
+            changed = (
+                len(lines)
+                if balancer.groups_changed
+                else sum(balancer.lines.get(n) != w for n, w in lines.items())
+            )
+            due.append((backlog_fraction, ident, lines, self.head + changed))
+        return sorted(due, key=lambda change: -change[0])
--- a/foxstep/advice/register.py
+++ b/foxstep/advice/register.py
@@ -1,16 +1,18 @@
-"""Who has registered what: balancers, their groups, the members in them. No I/O, no clock.
+"""The registry of balancers, their groups and the members in them. No I/O, no clock.
 
-A balancer's word stands for its own groups alone: two that say contrary things of one server do not touch
-each other. A request is taken whole or not at all, and what a peer can make this hold is bounded. Ids are
-text.
+What a balancer registers applies to its own groups only, so balancers that contradict each other about a
+server do not affect each other. A request is applied as a whole or not at all, and the memory that peers can
+use is bounded. Ids are text.
 """
 
 from enum import Enum
 
 
 class Answer(Enum):
+    """The result of a request."""
+
     DONE = "done"
-    NOT_ACCEPTED = "not accepted"  # beyond a limit, or not this sender's to say
+    NOT_ACCEPTED = "not accepted"  # beyond a limit, or the sender may not request it
     ALREADY = "already registered"
     TWICE = "twice in the request"
     NOT_REGISTERED = "not registered"
@@ -20,53 +22,65 @@
 
 
 class Entry:
-    """A server in a group. `shown`: how its front names it, unread here."""
+    """A server registered in a group. `shown` is the front's own object for it, which is not read here."""
 
     __slots__ = ("shown", "by_balancer", "state", "quiesced")
 
     def __init__(self, shown, by_balancer):
-        self.shown, self.by_balancer, self.state, self.quiesced = shown, by_balancer, 0, False
+        self.shown = shown
+        self.by_balancer = by_balancer  # whether the balancer registered it, or the member itself
+        self.state = 0
+        self.quiesced = False  # it asked for no new work
 
 
 class Balancer:
+    """A balancer that has made contact, with its groups and options."""
+
     def __init__(self, ident):
-        self.ident, self.groups = ident, {}  # group -> {server: Entry}, in order
-        self.push = self.trust = self.changes_only = False
-        self.health, self.away_since = 0, None  # None while its session stands
+        self.ident = ident
+        self.groups = {}  # group -> {server: Entry}, in order of registration
+        self.push = self.trust = self.changes_only = False  # `trust`: members may register themselves
+        self.health = 0
+        self.away_since = None  # microseconds; None while it is connected
 
     def size(self):
+        """The number of its members."""
         return sum(map(len, self.groups.values()))
 
 
 class Register:
-    """`most_members` of all balancers together, `most_lines` of one; `keep`: microseconds for which a
-    balancer that is away keeps what it has registered."""
+    """Registered balancers, groups and members.
+
+    `max_balancers` and `max_members` limit all of them, `max_groups` and `max_lines` (members) a single
+    balancer. `keep`: microseconds for which the registrations of a disconnected balancer are kept."""
 
-    def __init__(self, most_balancers, most_groups, most_members, keep, most_lines):
-        self.most_balancers, self.most_groups, self.most_members = most_balancers, most_groups, most_members
-        self.most_lines = most_lines
-        self.keep, self.balancers, self.members = keep, {}, 0
-        self.changed = {}  # balancers whose roll is to be read anew, as a set in order
+    def __init__(self, max_balancers, max_groups, max_members, keep, max_lines):
+        self.max_balancers, self.max_groups, self.max_members = max_balancers, max_groups, max_members
+        self.max_lines = max_lines
+        self.keep = keep
+        self.balancers = {}  # by id
+        self.members = 0  # number of members of all balancers
+        self.changed = {}  # balancers whose groups have changed since `next_changed`, as an ordered set
 
     def next_changed(self):
-        """A balancer whose roll has changed since it was last asked for, or None."""
+        """The id of a balancer whose groups have changed since it was last returned here, or None."""
         ident = next(iter(self.changed), None)
         if ident is not None:
             del self.changed[ident]
         return ident
 
     def roll(self, ident):
-        """group -> {server: whether it asked for no new work}."""
+        """group -> {server: whether it asked for no new work} of a balancer."""
         groups = self.balancers[ident].groups if ident in self.balancers else {}
         return {g: {s: e.quiesced for s, e in entries.items()} for g, entries in groups.items()}
 
     # -- sessions
 
     def contact(self, ident):
-        """A balancer's session is up, perhaps again: what it had registered stands."""
+        """A balancer has connected, perhaps again: what it had registered is kept."""
         balancer = self.balancers.get(ident)
         if balancer is None:
-            if len(self.balancers) >= self.most_balancers:
+            if len(self.balancers) >= self.max_balancers:
                 return Answer.NOT_ACCEPTED
             balancer = self.balancers[ident] = Balancer(ident)
         balancer.away_since = None
@@ -74,6 +88,7 @@
         return Answer.DONE
 
     def set_balancer(self, ident, push, trust, changes_only, health):
+        """Sets a balancer's options."""
         if ident not in self.balancers:
             return Answer.UNKNOWN_BALANCER
         balancer = self.balancers[ident]
@@ -82,11 +97,13 @@
         return Answer.DONE
 
     def away(self, now, ident):
+        """A balancer has disconnected."""
         if ident in self.balancers:
             self.balancers[ident].away_since = now
 
     def next_forgotten(self, now):
-        """A balancer that was away for too long and is forgotten with its groups, or None."""
+        """Removes a balancer that has been disconnected for too long, with its groups; returns its id, or
+        None if there is no such balancer."""
         for ident, balancer in self.balancers.items():
             if balancer.away_since is not None and now - balancer.away_since >= self.keep:
                 self.members -= balancer.size()
@@ -95,36 +112,38 @@
                 return ident
         return None
 
-    # -- groups: each request is checked whole, then done
+    # -- groups: each request is checked completely, then applied
 
-    def may(self, by_balancer, ident):
-        """Whether the sender may speak for a balancer's groups; members only where it trusts them."""
+    def check_sender(self, by_balancer, ident):
+        """Whether the sender may change a balancer's groups: the balancer, or members where it trusts
+        them."""
         balancer = self.balancers.get(ident)
         if balancer is None:
             return Answer.UNKNOWN_BALANCER if by_balancer else Answer.NO_CONTACT
         return Answer.DONE if by_balancer or balancer.trust else Answer.NOT_ACCEPTED
 
     def register(self, by_balancer, groups):
-        """`groups`: (balancer, group, [(server, shown)])."""
-        new, added = {}, 0
+        """Registers members. `groups`: (balancer, group, [(server, shown)])."""
+        new = {}
+        added = 0
         for ident, group, members in groups:
-            if (answer := self.may(by_balancer, ident)) is not Answer.DONE:
+            if (answer := self.check_sender(by_balancer, ident)) is not Answer.DONE:
                 return answer
-            standing = self.balancers[ident].groups
+            registered = self.balancers[ident].groups
             servers = new.setdefault((ident, group), {})
             for server, shown in members:
                 if server in servers:
                     return Answer.TWICE
-                if server in standing.get(group, ()):
+                if server in registered.get(group, ()):
                     return Answer.ALREADY
                 servers[server] = shown
                 added += 1
         for ident in dict.fromkeys(ident for ident, _ in new):
             names = {*self.balancers[ident].groups, *(g for b, g in new if b == ident)}
             size = self.balancers[ident].size() + sum(len(s) for (b, _), s in new.items() if b == ident)
-            if len(names) > self.most_groups or size > self.most_lines:
+            if len(names) > self.max_groups or size > self.max_lines:
                 return Answer.NOT_ACCEPTED
-        if self.members + added > self.most_members:
+        if self.members + added > self.max_members:
             return Answer.NOT_ACCEPTED
         for (ident, group), servers in new.items():
             entries = self.balancers[ident].groups.setdefault(group, {})
@@ -133,60 +152,66 @@
         self.members += added
         return Answer.DONE
 
-    def named(self, by_balancer, groups):
-        """The answer to a request that names groups and members, and what it names."""
+    def check_members(self, by_balancer, groups):
+        """(result, {(balancer, group): {server: None}}) for a request about registered groups and members."""
         found = {}
         for ident, group, members in groups:
-            if (answer := self.may(by_balancer, ident)) is not Answer.DONE:
+            if (answer := self.check_sender(by_balancer, ident)) is not Answer.DONE:
                 return answer, found
-            standing = self.balancers[ident].groups
-            if group not in standing:
+            registered = self.balancers[ident].groups
+            if group not in registered:
                 return Answer.UNKNOWN_GROUP, found
             for server in members:
-                if server not in standing[group]:
+                if server not in registered[group]:
                     return Answer.NOT_REGISTERED, found
             found.setdefault((ident, group), {}).update(dict.fromkeys(members))
         return Answer.DONE, found
 
     def deregister(self, by_balancer, groups):
-        """`groups`: (balancer, group, [server]). No server: the whole group; no name: all of its groups."""
-        asked = []
+        """Removes members. `groups`: (balancer, group, [server]). Without servers, the whole group is
+        removed; without a group name, too, all groups of the balancer."""
+        requested = []
         for ident, group, members in groups:
             if not group and not members and ident in self.balancers:
-                asked += [(ident, g, list(entries)) for g, entries in self.balancers[ident].groups.items()]
+                requested += [
+                    (ident, g, list(entries)) for g, entries in self.balancers[ident].groups.items()
+                ]
             else:
                 whole = self.balancers[ident].groups.get(group, ()) if ident in self.balancers else ()
-                asked.append((ident, group, members or list(whole)))
+                requested.append((ident, group, members or list(whole)))
         for ident in dict.fromkeys(ident for ident, _, _ in groups):
-            if (answer := self.may(by_balancer, ident)) is not Answer.DONE:
+            if (answer := self.check_sender(by_balancer, ident)) is not Answer.DONE:
                 return answer
-        answer, found = self.named(by_balancer, asked)
+        answer, found = self.check_members(by_balancer, requested)
         if answer is not Answer.DONE:
             return answer
         for (ident, group), servers in found.items():
-            standing = self.balancers[ident].groups
+            registered = self.balancers[ident].groups
             for server in servers:
-                del standing[group][server]
+                del registered[group][server]
             self.members -= len(servers)
-            if not standing[group]:
-                del standing[group]
+            if not registered[group]:
+                del registered[group]
             self.changed[ident] = None
         return answer
 
     def set_members(self, by_balancer, groups):
-        """`groups`: (balancer, group, [(server, state, quiesced)])."""
-        answer, _ = self.named(by_balancer, [(b, g, [s for s, _, _ in those]) for b, g, those in groups])
+        """Sets members' states. `groups`: (balancer, group, [(server, state, quiesced)])."""
+        answer, _ = self.check_members(
+            by_balancer, [(b, g, [s for s, _, _ in states]) for b, g, states in groups]
+        )
         if answer is not Answer.DONE:
             return answer
-        for ident, group, those in groups:
-            for server, state, quiesced in those:
+        for ident, group, states in groups:
+            for server, state, quiesced in states:
                 entry = self.balancers[ident].groups[group][server]
                 entry.state, entry.quiesced = state, quiesced
             self.changed[ident] = None
         return answer
 
     def asked(self, ident, group):
-        """(answer, groups by name) that a question for weights is about; no name: all of its groups."""
+        """(result, group -> {server: Entry}) for a request for weights; without a group name, all groups of
+        the balancer."""
         balancer = self.balancers.get(ident)
         if balancer is None:
             return Answer.UNKNOWN_BALANCER, {}
--- a/foxstep/balance.py
+++ b/foxstep/balance.py
@@ -24,38 +24,36 @@
 UNLIMITED_RATE = 1_000_000  # ops a second; no proxy reaches this level, so it admits everything
 
 PERIOD_US = SECOND  # rounded to whole cycles of reports
-SMOOTHING_FACTOR = 0.25  # weight of a period's value in an exponential moving average
 
 # Capacity and caps.
 HEADROOM_FRACTION = 0.05  # of the capacity, kept free by the caps
 CAP_MARGIN = 0.2  # fraction by which an op type's cap may exceed its measured demand
-ACTIVATION_FRACTION = 0.8  # of the capacity; caps are active while the demand is above it
-MIN_CAP_FRACTION = 0.05  # of the capacity without headroom, divided by the number of op types
-EARNINGS_EXPONENT = 3  # the weight of an op type's cap is its demand times its earnings to this power
+SMOOTHING_FACTOR = 0.25  # weight of a period's value in an exponential moving average
 KNEE_CAPACITY_RATIO = 1.1  # capacity over the acked rate at which latency begins to rise
 BUSY_CAPACITY_RATIO = 0.9  # capacity over its estimate from busy cores, while servers are saturated
-SATURATED_LATENCY_RATIO = 0.35  # of the mean target latency; above it, servers' concurrency limits are full
 OVERLOAD_PERIODS = 3  # consecutive periods of overload after which the capacity is lowered
 ERROR_INCREASE_RATIO = 2.0  # over NORMAL_ERROR_FRACTION, taken as a sign of overload
 LATENCY_INCREASE_RATIO = 1.5  # over the baseline latency, taken as a sign of overload
-NORMAL_ERROR_FRACTION = 0.03  # of tries that abort without overload
-BUSY_THRESHOLD = 0.75  # fraction of busy cores above which the servers may be the cause of overload
 CAPACITY_GROWTH = 1.05  # factor for a period without overload
 MAX_CAPACITY_GROWTH = 1.25  # factor for a period without overload, while caps are active and cores are idle
+ACTIVATION_FRACTION = 0.8  # of the capacity; caps are active while the demand is above it
+MIN_CAP_FRACTION = 0.05  # of the capacity without headroom, divided by the number of op types
+EARNINGS_EXPONENT = 3  # the weight of an op type's cap is its demand times its earnings to this power
 
-# Weights and health of servers.
+# Updates of weights.
 WEIGHT_STEP_EXPONENT = 0.1  # a weight is multiplied by (mean load / load) to this power each period
 UPDATE_THRESHOLD = 0.1  # relative difference from which a line or a level is sent
+
+# Signs of overload, and the health of servers.
+NORMAL_ERROR_FRACTION = 0.03  # of tries that abort without overload
+BUSY_THRESHOLD = 0.75  # fraction of busy cores above which the servers may be the cause of overload
+SATURATED_LATENCY_RATIO = 0.35  # of the mean target latency; above it, servers' concurrency limits are full
 MAX_LOAD_DEVIATION = 2  # factor between a load report and the load shown by latency, beyond which it is cut
 BAD_ABORTED_FRACTION = 0.5  # a server that aborts more of its tries is bad, unless the whole fleet does
 MIN_JUDGED_TRIES = 4  # tries needed to judge a server
 MAX_WITHDRAWN_FRACTION = 0.15  # of the servers, withdrawn on the evidence of tries alone
-ENOUGH_SAMPLES = 16  # ops or tries from which on a short interval is significant
-COLD_SAFETY_FACTOR = 0.8  # of the work that a cold server is known to be able to do
-MIN_COLD_FRACTION = 0.25  # of its usual work; a cold server that can do less gets none
-COLD_STOP_ABORTED_FRACTION = 0.3  # of all tries; from here on cold servers get no work
 
-# The channel to the proxies and the subset of servers in each proxy's table.
+# The channel to the proxies, and the subset of servers in each proxy's table.
 CHANNEL_SPEED_FRACTION = 0.5  # of the channel's stated speed, that is counted on
 DEFERRABLE_BACKLOG_FRACTION = 0.4  # of the channel's backlog, for changes that can wait; urgent ones use 0.9
 TABLES_BACKLOG_FRACTION = 0.12  # of the backlog, up to which the tables of all joined proxies may grow
@@ -65,7 +63,15 @@
 TABLE_SHRINK_FACTOR = 0.7  # of proxies' numbers of lines, each period while tries fail and cores are idle
 MIN_TABLE_FRACTION = 0.2  # of a proxy's usual number of lines
 IMBALANCE_RATIO = 1.5  # a line is moved to a server whose relative load is lower by this factor
+
+# Significance of measured values.
 PRIOR_OPS = 2  # ops at its usual rate that are added to a proxy's measured ones, against random variation
+ENOUGH_SAMPLES = 16  # ops or tries from which on a short interval is significant
+
+# Servers that are still cold after a start.
+COLD_SAFETY_FACTOR = 0.8  # of the work that a cold server is known to be able to do
+MIN_COLD_FRACTION = 0.25  # of its usual work; a cold server that can do less gets none
+COLD_STOP_ABORTED_FRACTION = 0.3  # of all tries; from here on cold servers get no work
 
 
 class Controller:
@@ -260,8 +266,9 @@
     def used(self, now, ident, op_type, ops, unanswered, window):
         proxy = self.proxies.get(ident)
         if proxy:
-            index = self.op_types_by_name[op_type].index
-            proxy.usage[index].add(self.record_arrival(now), ops, unanswered, window)
+            proxy.usage[self.op_types_by_name[op_type].index].add(
+                self.record_arrival(now), ops, unanswered, window
+            )
 
     def applied(self, now, ident, number, took):
         """Estimates the channel's speed from the time until a mark is answered. Guards against a channel that
