--- a/foxstep/simhost/__init__.py
+++ b/foxstep/simhost/__init__.py
@@ -1,1 +1,2 @@
-"""Hosts controllers on the simulator's wire: codec, names and units, instances. Nothing is decided here."""
+"""Runs controllers on the simulator's protocol: codec, names and units, instances. No decisions are made
+here."""
--- a/foxstep/simhost/__main__.py
+++ b/foxstep/simhost/__main__.py
@@ -1,4 +1,5 @@
-"""`python -m foxstep.simhost`: the decisions on the simulator's wire, standard input to output."""
+"""`python -m foxstep.simhost`: runs controllers on the simulator's protocol, from standard input to
+output."""
 
 import sys
 
