--- a/foxstep/advice/advice.py
+++ b/foxstep/advice/advice.py
@@ -48,9 +48,7 @@
         self.period = 2 * site["cycle"]
         self.rolls = {}  # by the balancer's id
         self.server_weights = None  # as of the last check; None: no list has been received yet
-        self.availability = (
-            None  # server -> (whether it may be picked, whether it is warm), at the last check
-        )
+        self.availability = None  # server -> (may be picked, is warm), at the last check
         self.next_check_at = 0
         self.pending = {}  # balancers that still have to be checked, as an ordered set
 
@@ -82,8 +80,7 @@
         return lines
 
     def is_required(self, sent, intended, server_weights):
-        """Whether a rule requires the change from the `sent` to the `intended` lines, so that it cannot
-        wait."""
+        """Whether a rule requires the change from the `sent` lines to the `intended` ones at once."""
         groups_with_weight = {parts(name)[0] for name, weight in sent.items() if weight}
         for name, weight in intended.items():
             old_weight = sent.get(name, 0)
@@ -130,8 +127,7 @@
             yield ident
 
     def changes(self, now, server_weights, idents):
-        """(fraction of the backlog, balancer, its lines, cost) of all that are due, required changes
-        first."""
+        """(fraction of the backlog, balancer, its lines, cost) of all due changes, required ones first."""
         due = []
         for ident in idents:
             balancer = self.rolls.get(ident)
--- a/foxstep/advice/register.py
+++ b/foxstep/advice/register.py
@@ -41,7 +41,7 @@
         self.groups = {}  # group -> {server: Entry}, in order of registration
         self.push = self.trust = self.changes_only = False  # `trust`: members may register themselves
         self.health = 0
-        self.away_since = None  # microseconds; None while it is connected
+        self.disconnected_since = None  # microseconds; None while it is connected
 
     def size(self):
         """The number of its members."""
@@ -83,7 +83,7 @@
             if len(self.balancers) >= self.max_balancers:
                 return Answer.NOT_ACCEPTED
             balancer = self.balancers[ident] = Balancer(ident)
-        balancer.away_since = None
+        balancer.disconnected_since = None
         self.changed[ident] = None
         return Answer.DONE
 
@@ -99,13 +99,13 @@
     def away(self, now, ident):
         """A balancer has disconnected."""
         if ident in self.balancers:
-            self.balancers[ident].away_since = now
+            self.balancers[ident].disconnected_since = now
 
     def next_forgotten(self, now):
         """Removes a balancer that has been disconnected for too long, with its groups; returns its id, or
         None if there is no such balancer."""
         for ident, balancer in self.balancers.items():
-            if balancer.away_since is not None and now - balancer.away_since >= self.keep:
+            if balancer.disconnected_since is not None and now - balancer.disconnected_since >= self.keep:
                 self.members -= balancer.size()
                 del self.balancers[ident]
                 self.changed.pop(ident, None)
