--- a/foxstep/advice/advice.py
+++ b/foxstep/advice/advice.py
@@ -1,9 +1,9 @@
 """Decides which balancers are sent new weights, when, and which weights. No I/O, no clock.
 
-The decision module's shared table is the only source of weights (its `standing()`, see `weigh`). Changes that
-a rule requires (a server that left, a cold one that has too much weight, a group without a weight) are sent
-at once. The rest is sent once a period, and only as far as the channel has room that the ordinary tables do
-not need. Times are whole microseconds.
+The decision module's shared table is the only source of weights (see `weigh`). Changes that a rule requires
+(a server that left, a cold one that has too much weight, a group without a weight) are sent at once. The rest
+is sent once a period, and only as far as the channel has room that the ordinary tables do not need. Times are
+whole microseconds.
 """
 
 from foxstep.advice.weigh import group_weights, whole_system
--- a/foxstep/advice/register.py
+++ b/foxstep/advice/register.py
@@ -22,7 +22,7 @@
 
 
 class Entry:
-    """A server registered in a group. `shown` is the front's own object for it, which is not read here."""
+    """A server registered in a group. `shown` is the front's own object for it, not read here."""
 
     __slots__ = ("shown", "by_balancer", "state", "quiesced")
 
