--- a/foxstep/advice/advice.py
+++ b/foxstep/advice/advisor.py
@@ -1,12 +1,12 @@
 """Decides which balancers are sent new weights, when, and which weights. No I/O, no clock.
 
-The decision module's shared table is the only source of weights (see `weigh`). Changes that a rule requires
+The decision module's shared table is the only source of weights (see `weights`). Changes that a rule requires
 (a server that left, a cold one that has too much weight, a group without a weight) are sent at once. The rest
 is sent once a period, and only as far as the channel has room that the ordinary tables do not need. Times are
 whole microseconds.
 """
 
-from foxstep.advice.weigh import group_weights, whole_system
+from foxstep.advice.weights import group_weights, member_values
 
 UPDATE_THRESHOLD = 0.1  # relative difference from which a weight is sent, the same as for ordinary tables
 COLD_EXCESS_THRESHOLD = 0.5  # relative excess of a cold server's weight from which it is sent at once
@@ -18,12 +18,12 @@
 MAX_BALANCER_FRACTION = 0.4
 
 
-def key(group, server):
+def line_name(group, server):
     """The name of a line in a balancer's table. Group ids have no blank."""
     return f"{group} {server}"
 
 
-def parts(name):
+def split_line_name(name):
     """(group, server) of a line's name."""
     group, _, server = name.partition(" ")
     return group, server
@@ -39,14 +39,14 @@
         self.deferrable_at = 0  # from when it may be sent changes that can wait
 
 
-class Advice:
+class Advisor:
     """The weight advice for all connected balancers. `site` is the plain map of the settings."""
 
     def __init__(self, site):
         self.head = site["head"]
         self.backlog = site["backlog"]
         self.period = 2 * site["cycle"]
-        self.rolls = {}  # by the balancer's id
+        self.balancers = {}  # by the balancer's id
         self.server_weights = None  # as of the last check; None: no list has been received yet
         self.availability = None  # server -> (may be picked, is warm), at the last check
         self.next_check_at = 0
@@ -54,20 +54,20 @@
 
     # -- inputs
 
-    def enroll(self, ident, groups):
+    def set_groups(self, ident, groups):
         """Sets all groups of a balancer: group -> {server: whether it asked for no new work}."""
-        balancer = self.rolls.setdefault(ident, AdvisedBalancer())
+        balancer = self.balancers.setdefault(ident, AdvisedBalancer())
         balancer.groups = groups
         balancer.groups_changed = True
         self.pending[ident] = None
 
-    def most_lines(self):
+    def max_lines(self):
         """The maximum number of members of one balancer."""
         return int(MAX_BALANCER_FRACTION * self.backlog)
 
     def left(self, ident):
         """A balancer's connection has ended."""
-        self.rolls.pop(ident, None)
+        self.balancers.pop(ident, None)
 
     # -- decisions
 
@@ -76,20 +76,20 @@
         lines = {}
         for group, members in balancer.groups.items():
             weights = group_weights(members, server_weights)
-            lines.update((key(group, s), round(weights.get(s, 0), 4)) for s in members)
+            lines.update((line_name(group, s), round(weights.get(s, 0), 4)) for s in members)
         return lines
 
     def is_required(self, sent, intended, server_weights):
         """Whether a rule requires the change from the `sent` lines to the `intended` ones at once."""
-        groups_with_weight = {parts(name)[0] for name, weight in sent.items() if weight}
+        groups_with_weight = {split_line_name(name)[0] for name, weight in sent.items() if weight}
         for name, weight in intended.items():
             old_weight = sent.get(name, 0)
-            group, server = parts(name)
+            group, server = split_line_name(name)
             if old_weight and not weight or weight and group not in groups_with_weight:
                 return True
             if (
                 old_weight > weight * (1 + COLD_EXCESS_THRESHOLD)
-                and (whole_system(server_weights, server) or (0, 0, 1))[2] < 1
+                and (member_values(server_weights, server) or (0, 0, 1))[2] < 1
             ):
                 return True
         return False
@@ -110,7 +110,7 @@
             return
         idents = self.pending
         if server_weights != self.server_weights:
-            idents = dict.fromkeys(self.rolls)
+            idents = dict.fromkeys(self.balancers)
         self.server_weights = server_weights
         self.availability = availability
         self.pending = {}
@@ -119,7 +119,7 @@
             if waiting + cost > backlog_fraction * self.backlog:
                 self.pending[ident] = None
                 continue
-            balancer = self.rolls[ident]
+            balancer = self.balancers[ident]
             waiting = waiting + cost
             balancer.lines = lines
             balancer.groups_changed = False
@@ -130,7 +130,7 @@
         """(fraction of the backlog, balancer, its lines, cost) of all due changes, required ones first."""
         due = []
         for ident in idents:
-            balancer = self.rolls.get(ident)
+            balancer = self.balancers.get(ident)
             if balancer is None:
                 continue
             intended = self.intended_lines(balancer, server_weights)
--- a/foxstep/advice/register.py
+++ b/foxstep/advice/registry.py
@@ -8,13 +8,13 @@
 from enum import Enum
 
 
-class Answer(Enum):
+class Result(Enum):
     """The result of a request."""
 
     DONE = "done"
     NOT_ACCEPTED = "not accepted"  # beyond a limit, or the sender may not request it
-    ALREADY = "already registered"
-    TWICE = "twice in the request"
+    ALREADY_REGISTERED = "already registered"
+    DUPLICATE = "twice in the request"
     NOT_REGISTERED = "not registered"
     UNKNOWN_GROUP = "unknown group"
     UNKNOWN_BALANCER = "unknown balancer"
@@ -22,12 +22,12 @@
 
 
 class Entry:
-    """A server registered in a group. `shown` is the front's own object for it, not read here."""
+    """A server registered in a group. `wire_member` is the front's own object for it, not read here."""
 
-    __slots__ = ("shown", "by_balancer", "state", "quiesced")
+    __slots__ = ("wire_member", "by_balancer", "state", "quiesced")
 
-    def __init__(self, shown, by_balancer):
-        self.shown = shown
+    def __init__(self, wire_member, by_balancer):
+        self.wire_member = wire_member
         self.by_balancer = by_balancer  # whether the balancer registered it, or the member itself
         self.state = 0
         self.quiesced = False  # it asked for no new work
@@ -48,18 +48,18 @@
         return sum(map(len, self.groups.values()))
 
 
-class Register:
+class Registry:
     """Registered balancers, groups and members.
 
     `max_balancers` and `max_members` limit all of them, `max_groups` and `max_lines` (members) a single
-    balancer. `keep`: microseconds for which the registrations of a disconnected balancer are kept."""
+    balancer. `retention_us`: microseconds for which the registrations of a disconnected balancer are kept."""
 
-    def __init__(self, max_balancers, max_groups, max_members, keep, max_lines):
+    def __init__(self, max_balancers, max_groups, max_members, retention_us, max_lines):
         self.max_balancers, self.max_groups, self.max_members = max_balancers, max_groups, max_members
         self.max_lines = max_lines
-        self.keep = keep
+        self.retention_us = retention_us
         self.balancers = {}  # by id
-        self.members = 0  # number of members of all balancers
+        self.member_count = 0  # number of members of all balancers
         self.changed = {}  # balancers whose groups have changed since `next_changed`, as an ordered set
 
     def next_changed(self):
@@ -69,7 +69,7 @@
             del self.changed[ident]
         return ident
 
-    def roll(self, ident):
+    def members_by_group(self, ident):
         """group -> {server: whether it asked for no new work} of a balancer."""
         groups = self.balancers[ident].groups if ident in self.balancers else {}
         return {g: {s: e.quiesced for s, e in entries.items()} for g, entries in groups.items()}
@@ -81,32 +81,35 @@
         balancer = self.balancers.get(ident)
         if balancer is None:
             if len(self.balancers) >= self.max_balancers:
-                return Answer.NOT_ACCEPTED
+                return Result.NOT_ACCEPTED
             balancer = self.balancers[ident] = Balancer(ident)
         balancer.disconnected_since = None
         self.changed[ident] = None
-        return Answer.DONE
+        return Result.DONE
 
     def set_balancer(self, ident, push, trust, changes_only, health):
         """Sets a balancer's options."""
         if ident not in self.balancers:
-            return Answer.UNKNOWN_BALANCER
+            return Result.UNKNOWN_BALANCER
         balancer = self.balancers[ident]
         balancer.push, balancer.trust, balancer.changes_only = push, trust, changes_only
         balancer.health = health
-        return Answer.DONE
+        return Result.DONE
 
-    def away(self, now, ident):
+    def disconnected(self, now, ident):
         """A balancer has disconnected."""
         if ident in self.balancers:
             self.balancers[ident].disconnected_since = now
 
-    def next_forgotten(self, now):
+    def remove_expired(self, now):
         """Removes a balancer that has been disconnected for too long, with its groups; returns its id, or
         None if there is no such balancer."""
         for ident, balancer in self.balancers.items():
-            if balancer.disconnected_since is not None and now - balancer.disconnected_since >= self.keep:
-                self.members -= balancer.size()
+            if (
+                balancer.disconnected_since is not None
+                and now - balancer.disconnected_since >= self.retention_us
+            ):
+                self.member_count -= balancer.size()
                 del self.balancers[ident]
                 self.changed.pop(ident, None)
                 return ident
@@ -119,53 +122,55 @@
         them."""
         balancer = self.balancers.get(ident)
         if balancer is None:
-            return Answer.UNKNOWN_BALANCER if by_balancer else Answer.NO_CONTACT
-        return Answer.DONE if by_balancer or balancer.trust else Answer.NOT_ACCEPTED
+            return Result.UNKNOWN_BALANCER if by_balancer else Result.NO_CONTACT
+        return Result.DONE if by_balancer or balancer.trust else Result.NOT_ACCEPTED
 
     def register(self, by_balancer, groups):
-        """Registers members. `groups`: (balancer, group, [(server, shown)])."""
+        """Registers members. `groups`: (balancer, group, [(server, wire_member)])."""
         new = {}
         added = 0
         for ident, group, members in groups:
-            if (answer := self.check_sender(by_balancer, ident)) is not Answer.DONE:
+            if (answer := self.check_sender(by_balancer, ident)) is not Result.DONE:
                 return answer
             registered = self.balancers[ident].groups
             servers = new.setdefault((ident, group), {})
-            for server, shown in members:
+            for server, wire_member in members:
                 if server in servers:
-                    return Answer.TWICE
+                    return Result.DUPLICATE
                 if server in registered.get(group, ()):
-                    return Answer.ALREADY
-                servers[server] = shown
+                    return Result.ALREADY_REGISTERED
+                servers[server] = wire_member
                 added += 1
         for ident in dict.fromkeys(ident for ident, _ in new):
             names = {*self.balancers[ident].groups, *(g for b, g in new if b == ident)}
             size = self.balancers[ident].size() + sum(len(s) for (b, _), s in new.items() if b == ident)
             if len(names) > self.max_groups or size > self.max_lines:
-                return Answer.NOT_ACCEPTED
-        if self.members + added > self.max_members:
-            return Answer.NOT_ACCEPTED
+                return Result.NOT_ACCEPTED
+        if self.member_count + added > self.max_members:
+            return Result.NOT_ACCEPTED
         for (ident, group), servers in new.items():
             entries = self.balancers[ident].groups.setdefault(group, {})
-            entries.update((server, Entry(shown, by_balancer)) for server, shown in servers.items())
+            entries.update(
+                (server, Entry(wire_member, by_balancer)) for server, wire_member in servers.items()
+            )
             self.changed[ident] = None
-        self.members += added
-        return Answer.DONE
+        self.member_count += added
+        return Result.DONE
 
     def check_members(self, by_balancer, groups):
         """(result, {(balancer, group): {server: None}}) for a request about registered groups and members."""
         found = {}
         for ident, group, members in groups:
-            if (answer := self.check_sender(by_balancer, ident)) is not Answer.DONE:
+            if (answer := self.check_sender(by_balancer, ident)) is not Result.DONE:
                 return answer, found
             registered = self.balancers[ident].groups
             if group not in registered:
-                return Answer.UNKNOWN_GROUP, found
+                return Result.UNKNOWN_GROUP, found
             for server in members:
                 if server not in registered[group]:
-                    return Answer.NOT_REGISTERED, found
+                    return Result.NOT_REGISTERED, found
             found.setdefault((ident, group), {}).update(dict.fromkeys(members))
-        return Answer.DONE, found
+        return Result.DONE, found
 
     def deregister(self, by_balancer, groups):
         """Removes members. `groups`: (balancer, group, [server]). Without servers, the whole group is
@@ -180,16 +185,16 @@
                 whole = self.balancers[ident].groups.get(group, ()) if ident in self.balancers else ()
                 requested.append((ident, group, members or list(whole)))
         for ident in dict.fromkeys(ident for ident, _, _ in groups):
-            if (answer := self.check_sender(by_balancer, ident)) is not Answer.DONE:
+            if (answer := self.check_sender(by_balancer, ident)) is not Result.DONE:
                 return answer
         answer, found = self.check_members(by_balancer, requested)
-        if answer is not Answer.DONE:
+        if answer is not Result.DONE:
             return answer
         for (ident, group), servers in found.items():
             registered = self.balancers[ident].groups
             for server in servers:
                 del registered[group][server]
-            self.members -= len(servers)
+            self.member_count -= len(servers)
             if not registered[group]:
                 del registered[group]
             self.changed[ident] = None
@@ -200,7 +205,7 @@
         answer, _ = self.check_members(
             by_balancer, [(b, g, [s for s, _, _ in states]) for b, g, states in groups]
         )
-        if answer is not Answer.DONE:
+        if answer is not Result.DONE:
             return answer
         for ident, group, states in groups:
             for server, state, quiesced in states:
@@ -209,14 +214,14 @@
             self.changed[ident] = None
         return answer
 
-    def asked(self, ident, group):
+    def find_groups(self, ident, group):
         """(result, group -> {server: Entry}) for a request for weights; without a group name, all groups of
         the balancer."""
         balancer = self.balancers.get(ident)
         if balancer is None:
-            return Answer.UNKNOWN_BALANCER, {}
+            return Result.UNKNOWN_BALANCER, {}
         if not group:
-            return Answer.DONE, dict(balancer.groups)
+            return Result.DONE, dict(balancer.groups)
         if group not in balancer.groups:
-            return Answer.UNKNOWN_GROUP, {}
-        return Answer.DONE, {group: balancer.groups[group]}
+            return Result.UNKNOWN_GROUP, {}
+        return Result.DONE, {group: balancer.groups[group]}
--- a/foxstep/advice/weigh.py
+++ b/foxstep/advice/weights.py
@@ -5,7 +5,7 @@
 """
 
 
-def whole_system(server_weights, server):
+def member_values(server_weights, server):
     """The values of a member, or None if it is not open. A member without a port (":0") stands for all
     servers of its address: it gets the sum of their weights."""
     own = server_weights.get(server)
@@ -34,7 +34,7 @@
 
     If no warm member may be picked, warm members that are withdrawn are used, then warm ones that are
     quiesced, then cold ones: a group with an open member always has one with a weight."""
-    known = {s: values for s in members if (values := whole_system(server_weights, s)) is not None}
+    known = {s: values for s in members if (values := member_values(server_weights, s)) is not None}
     picked = {s: w for s, (w, _, _) in known.items() if w and not members[s]}
     warm = {s: w for s, w in picked.items() if known[s][2] == 1}
     if warm:
--- a/foxstep/balance.py
+++ b/foxstep/balance.py
@@ -103,7 +103,7 @@
         self.period_started_at = now - self.period
         self.reports_arrived = False  # in this period
         self.bucket_shift = None  # microseconds that put the reports' arrival into the middle of a bucket
-        self.ask_again = now  # when to subscribe to the list again; None: not due
+        self.subscribe_at = now  # when to subscribe to the list again; None: not due
         self.subscribe_wake_at = None  # for which of these times a wake-up was ordered
         self.list_failures = 0  # in a row
         self.capacity = None  # ops a second that the servers can do for its proxies; None: not known
@@ -130,7 +130,7 @@
             delay = min(
                 self.site.get("ask_within", 8 * SECOND) / 2, SECOND / 2 * 2 ** min(self.list_failures, 6)
             )
-            self.ask_again = now + int(delay * (0.5 + random_part))
+            self.subscribe_at = now + int(delay * (0.5 + random_part))
             return
         self.list_failures *= how == "remembered"
         named = {line[0] for line in lines}
@@ -160,7 +160,7 @@
         server.started = started
         server.health_factor = 1.0
         server.health_changed_at = now
-        server.strikes = server.probe_successes = server.probe_failures = server.probe_sent_at = 0
+        server.withdrawals = server.probe_successes = server.probe_failures = server.probe_sent_at = 0
 
     def woken(self, now, mark): ...
 
@@ -217,14 +217,14 @@
         ):
             server.health_factor = 0.0
             server.health_changed_at = now
-            server.strikes = server.strikes + 1
+            server.withdrawals = server.withdrawals + 1
             self.urgent_proxies.update(server.holders)
         self.has_urgent_changes = True
 
     def has_enough_tries(self, now, server):
         return server.tries.sums(self.bucket_time(now))[0] >= ENOUGH_SAMPLES
 
-    def weighed(self, now):
+    def measured_weights(self, now):
         """The usual weight of each open server that this controller has enough tries of its own for."""
         return {s.ident: s.weight for s in self.open_servers() if s.weight and self.has_enough_tries(now, s)}
 
@@ -294,13 +294,13 @@
 
     def decide(self):
         """Yields all orders that are due at the time `now`."""
-        if self.site.get("list_asked") and self.ask_again is not None:
+        if self.site.get("list_asked") and self.subscribe_at is not None:
             # There is one subscription. After a failure it is ordered again with backoff and a random delay.
-            if self.now >= self.ask_again:
-                self.ask_again = None
+            if self.now >= self.subscribe_at:
+                self.subscribe_at = None
                 yield ("watch", True)
-            elif self.ask_again != self.subscribe_wake_at:
-                self.subscribe_wake_at = self.ask_again
+            elif self.subscribe_at != self.subscribe_wake_at:
+                self.subscribe_wake_at = self.subscribe_at
                 yield ("wake", self.subscribe_wake_at, "list")
         # A period ends when reports arrive, so that they are acted on at once; without reports, by a timer.
         reports_due = self.period_started_at + self.period - self.cycle // 2
@@ -313,7 +313,7 @@
             self.evaluate_health()
             if self.reports_arrived:
                 self.reports_arrived = False
-                self.step_weights()
+                self.adjust_weights()
                 yield from self.update_caps()
             yield from self.send_probes()
             yield from self.remove_gone_servers()
@@ -340,7 +340,7 @@
             self.capacity = self.capacity * usual_rate / self.usual_rate or None
         self.usual_rate = usual_rate
         # It also follows the servers: when the list removes some or some start cold, it is lowered at once.
-        warm_weight = sum(s.listed_weight * self.warmth(s) for s in self.open_servers())
+        warm_weight = sum(s.listed_weight * self.warm_fraction(s) for s in self.open_servers())
         if self.capacity and self.warm_weight and warm_weight:
             self.capacity *= warm_weight / self.warm_weight
         smoothing = (
@@ -413,7 +413,7 @@
     def joined_proxies(self):
         return [p for p in self.proxies.values() if p.joined]
 
-    def warmth(self, server):
+    def warm_fraction(self, server):
         """The fraction of its usual work that a server can safely do after its start: 1 once it is warm. The
         ramp from the cold fraction to 1 is taken to be linear, since no server's is slower."""
         ramp = self.site.get("ramp", 0)
@@ -484,13 +484,13 @@
                 if (unreachable and (failing or fraction is None)) or (failing and may_withdraw):
                     server.health_factor = 0.0
                     server.health_changed_at = self.now
-                    server.strikes += 1
+                    server.withdrawals += 1
                     withdrawn_count += 1
                 elif server.health_factor < 1 and self.now - server.health_changed_at >= 2 * self.period:
                     server.health_factor = min(1.0, server.health_factor * 2)
                     server.health_changed_at = self.now
             elif (server.probe_successes > 1 or not probes_credible) and (
-                self.now - server.health_changed_at >= self.period * 2**server.strikes
+                self.now - server.health_changed_at >= self.period * 2**server.withdrawals
             ):
                 # The trial starts like a cold start, since the server may have restarted without the list
                 # showing it yet. Each withdrawal doubles the wait, against flapping and against servers that
@@ -500,13 +500,13 @@
 
     # Weights: the same for all proxies
 
-    def step_weights(self):
+    def adjust_weights(self):
         """Takes one small step per period, weight x (mean load / load)^WEIGHT_STEP_EXPONENT, for servers that
         are warm and healthy.
 
         A server's load is its fraction of busy cores plus the wait of the ops that it holds, as a fraction of
         the mean target latency."""
-        healthy = [s for s in self.shared_table if s.health_factor == 1 and self.warmth(s) == 1]
+        healthy = [s for s in self.shared_table if s.health_factor == 1 and self.warm_fraction(s) == 1]
         proxies_fraction = len(self.joined_proxies()) / max(self.site.get("proxies", 1), 1)
         # Acked tries a second of all proxies, those of other controllers included.
         acked = sum(s.recent_tries[2] for s in healthy) / self.recent_seconds / max(proxies_fraction, 0.05)
@@ -710,23 +710,23 @@
                 server.weight = (
                     fmean([s.weight / s.listed_weight for s in same_kind] or [1.0]) * server.listed_weight
                 )
-            warmth = self.warmth(server)
+            warm_fraction = self.warm_fraction(server)
             fraction = (
-                warmth
-                if warmth == 1
-                else warmth * (1 - self.fleet_aborted_fraction / COLD_STOP_ABORTED_FRACTION)
+                warm_fraction
+                if warm_fraction == 1
+                else warm_fraction * (1 - self.fleet_aborted_fraction / COLD_STOP_ABORTED_FRACTION)
             )
             if fraction >= MIN_COLD_FRACTION and server.health_factor:
                 table[server] = server.weight * fraction * server.health_factor
-        any_warm = any(self.warmth(s) == 1 for s in table)
-        return table if any_warm else {s: s.weight * self.warmth(s) for s in candidates}
+        any_warm = any(self.warm_fraction(s) == 1 for s in table)
+        return table if any_warm else {s: s.weight * self.warm_fraction(s) for s in candidates}
 
-    def standing(self):
+    def server_weights(self):
         """For each open server: (weight in the shared table, usual weight, fraction of it that it can safely
         do). Weight advice is computed from this."""
         open_servers = self.open_servers()
         return {
-            s.ident: (self.shared_table.get(s, 0.0), s.weight or s.listed_weight, self.warmth(s))
+            s.ident: (self.shared_table.get(s, 0.0), s.weight or s.listed_weight, self.warm_fraction(s))
             for s in open_servers
         }
 
@@ -824,7 +824,8 @@
         held = [s for s in proxy.lines if s in weights]
         outdated = [s for s in held if abs(proxy.lines[s] / weights[s] - 1) > UPDATE_THRESHOLD]
         if outdated and (
-            period_ended or any(proxy.lines[s] > 1.5 * weights[s] and self.warmth(s) < 1 for s in outdated)
+            period_ended
+            or any(proxy.lines[s] > 1.5 * weights[s] and self.warm_fraction(s) < 1 for s in outdated)
         ):
             changed.update(
                 (s, weights[s]) for s in held if abs(proxy.lines[s] / weights[s] - 1) > UPDATE_THRESHOLD / 2
--- a/foxstep/commands/servers.py
+++ b/foxstep/commands/servers.py
@@ -14,7 +14,7 @@
 
 
 async def fetch(address, cluster, within=5.0):
-    """Lines as `interface.Listed`, starts in wall-clock microseconds."""
+    """Lines as `interface.ListedServer`, starts in wall-clock microseconds."""
     async with grpc.aio.insecure_channel(address) as channel:
         call = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel).StreamEndpoints(timeout=within)
         await call.write(
--- a/foxstep/drills/even.py
+++ b/foxstep/drills/even.py
@@ -27,10 +27,10 @@
     def next_order(self, now):
         return self.orders.pop(0) if self.orders else None
 
-    def standing(self):
+    def server_weights(self):
         return {server: (1.0, 1.0, 1.0) for server, weight in self.servers.items() if weight}
 
-    def weighed(self, now):
+    def measured_weights(self, now):
         return {}
 
     def ignored(self, *_): ...
--- a/foxstep/fleet.py
+++ b/foxstep/fleet.py
@@ -66,7 +66,7 @@
         self.weight = None  # in the shared table, as learnt; None: not yet assigned
         self.health_factor = 1.0  # of its weight; 1: healthy, 0: withdrawn, between: on trial
         self.health_changed_at = 0
-        self.strikes = 0  # how often it was withdrawn since it started
+        self.withdrawals = 0  # how often it was withdrawn since it started
         self.aborted_fraction = None  # of its recent tries; None: too few tries
         self.probe_successes = self.probe_failures = 0  # in a row
         self.probe_sent_at = 0  # of the probe under way; 0: none is
--- a/foxstep/interface.py
+++ b/foxstep/interface.py
@@ -92,7 +92,7 @@
         """What another controller, or this one before a restart, knew of a server: its usual weight relative
         to the mean of all, and whether it was withdrawn. For a controller without tries of its own there."""
 
-    def weighed(self, now: int) -> dict[str, float]:
+    def measured_weights(self, now: int) -> dict[str, float]:
         """The usual weight of each open server that this controller has enough tries of its own for. Other
         controllers are sent these; a weight that was only learnt from others is not passed on."""
 
@@ -100,7 +100,7 @@
         """Capacity, in ops a second, of proxies that moved here from another controller (below 0: that moved
         from here to another one)."""
 
-    def standing(self) -> dict[str, tuple[float, float, float]]:
+    def server_weights(self) -> dict[str, tuple[float, float, float]]:
         """For each open server: its weight in the shared table now (0: none), its usual weight, and the
         fraction of its usual work that it can safely do (1: warm). Weight advice to other balancers is
         computed from this, restored tables of earlier versions are limited by it, and other controllers are
--- a/foxstep/live/host.py
+++ b/foxstep/live/host.py
@@ -88,7 +88,7 @@
     # -- what comes in ---------------------------------------------------------------------------------------
 
     def listed(self, how, lines):
-        """The list of servers: lines as `interface.Listed`, starts on the host's clock."""
+        """The list of servers: lines as `interface.ListedServer`, starts on the host's clock."""
         if "cold" in self.off:
             lines = [(*line[:6], 0) for line in lines]
         if "drain" in self.off and how in ("whole", "changes"):
--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -163,7 +163,7 @@
 
     def shape(self, now, ordered):
         zones = {ident: joined.zone for ident, joined in self.joins.items()}
-        standing = self.controller.standing()
+        standing = self.controller.server_weights()
         allowed = {server: weight / usual for server, (weight, usual, _) in standing.items() if weight}
         waiting = self.channel.lines_waiting(now) + sum(message.cost for message in ordered)
         return self.desk.shape(
@@ -173,7 +173,7 @@
             zones,
             allowed,
             "; ".join(self.because),
-            standing if self.desk.advice.rolls else None,
+            standing if self.desk.advice.balancers else None,
             waiting,
         )
 
--- a/foxstep/node/config.py
+++ b/foxstep/node/config.py
@@ -80,7 +80,7 @@
 
 
 def server_lines(server_list, wall_offset):
-    """Converts a list of servers into lines as in `interface.Listed`.
+    """Converts a list of servers into lines as in `interface.ListedServer`.
 
     `wall_offset` is the wall clock minus the host's clock, in microseconds; start times are converted to the
     host's clock. Raises ConfigError."""
@@ -136,7 +136,7 @@
     if has_flattened_key or not isinstance(settings.get("services"), list):
         raise ConfigError("settings: services is not a list of op types")
     try:
-        site = names.site_of(dict(flatten(settings)))
+        site = names.parse_site(dict(flatten(settings)))
     except (ValueError, KeyError, OverflowError, AttributeError, RecursionError) as error:
         raise ConfigError(f"settings: {error}") from None
     missing = [name for name in REQUIRED_SETTINGS if name not in site]
--- a/foxstep/node/probes.py
+++ b/foxstep/node/probes.py
@@ -4,7 +4,7 @@
 
 from foxstep.node.config import ConfigError, parse_address
 from foxstep.node.http import HttpConnectionError, connect
-from foxstep.simhost.names import load_of
+from foxstep.simhost.names import parse_load
 
 SECOND = 1_000_000  # microseconds
 PROBE_TIMEOUT_S = 0.5  # a probe without an answer by then has the outcome "silent"
@@ -61,7 +61,7 @@
                 return "rejected", None
             if status != 200:
                 return "aborted", None
-            return "acked", load_of(body.decode("utf-8", "replace"))
+            return "acked", parse_load(body.decode("utf-8", "replace"))
         except HttpConnectionError:
             return "broken", None
         finally:
--- a/foxstep/node/program.py
+++ b/foxstep/node/program.py
@@ -20,7 +20,7 @@
 from foxstep.node.peer_transport import PeerTransport
 from foxstep.node.probes import MAX_CONCURRENT_PROBES, Prober
 from foxstep.node.streams import Acceptor, listen
-from foxstep.simhost.names import PROBED, report_of
+from foxstep.simhost.names import SERVER_LOAD_FIELDS, load_from_pairs
 
 # For probes, discovery, the peers' socket, the event loop, logs, and connections that are closing.
 RESERVED_DESCRIPTORS = MAX_CONCURRENT_PROBES + 24
@@ -83,9 +83,11 @@
         self.host = Host(site, config.seed, clock, wall)
         self.discovery = DiscoveryClient(self.host, config.discovery)
         self.discovery.load_known(config.known)
-        reported = {name: ours for name, ours in PROBED.items() if ours in site.get("reports", [])}
+        reported = {
+            name: ours for name, ours in SERVER_LOAD_FIELDS.items() if ours in site.get("reports", [])
+        }
         self.acceptor = Acceptor(
-            self.host, *self.connection_limits(), lambda metrics: report_of(metrics.items(), reported)
+            self.host, *self.connection_limits(), lambda metrics: load_from_pairs(metrics.items(), reported)
         )
         self.prober = Prober(self.host, self.discovery)
         self.peer_transport = PeerTransport(self.host, *self.peer_addresses())
--- a/foxstep/peers/learning.py
+++ b/foxstep/peers/learning.py
@@ -79,8 +79,8 @@
         self.teller.tell(
             now,
             host.listed_lines,
-            host.controller.standing(),
-            host.controller.weighed(now),
+            host.controller.server_weights(),
+            host.controller.measured_weights(now),
             host.controller.capacity,
             sum(self.rates().values()) + self.hearsay.rates_gone(),
             self.zones(),
--- a/foxstep/peers/learnt.py
+++ b/foxstep/peers/learnt.py
@@ -62,9 +62,9 @@
         self.replica, self.keys = replica, [{} for _ in range(LANES)]
 
     def tell(self, now, lines, standing, weighed, capacity, rates, zones, holders):
-        """`lines`: server -> its line as its own list told it (interface.Listed); `standing` and `weighed` as
-        the module tells them; `capacity` C or None; `rates` ops a second that its proxies usually get
-        together; `zones` and `holders`: joined proxy -> zone, version."""
+        """`lines`: server -> its line as its own list told it (interface.ListedServer); `standing` and
+        `weighed` as the module tells them; `capacity` C or None; `rates` ops a second that its proxies
+        usually get together; `zones` and `holders`: joined proxy -> zone, version."""
         said = {}
         for server, line in lines.items():
             weight, _, warmth = standing.get(server, (0.0, None, 1.0))
@@ -147,8 +147,9 @@
         return made
 
     def shade(self, now, lines, told_at):
-        """The lines (server -> interface.Listed) as this controller's own list tells them, and since when it
-        tells them so (`told_at`), with what others have heard since: server -> line, of those that differ.
+        """The lines (server -> interface.ListedServer) as this controller's own list tells them, and since
+        when it tells them so (`told_at`), with what others have heard since: server -> line, of those that
+        differ.
 
         Guards against a list that is behind at a successor: a server that drained, or began anew and cold, by
         word of the one that died. Harm: one that is wrong hides a server for as long as a list may be old."""
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -6,8 +6,8 @@
 import anyio
 import structlog
 
-from foxstep.advice.advice import key, parts
-from foxstep.advice.register import Answer, Register
+from foxstep.advice.advisor import line_name, split_line_name
+from foxstep.advice.registry import Registry, Result
 from foxstep.sasp import wire
 from foxstep.sasp.wire import Code, Flag, Kind, Message, Weight
 from foxstep.tables.desk import ADVICE
@@ -21,14 +21,14 @@
 CLOSED = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, TimeoutError, OSError)
 
 CODES = {
-    Answer.DONE: Code.SUCCESS,
-    Answer.NOT_ACCEPTED: Code.NOT_ACCEPTED,
-    Answer.ALREADY: Code.ALREADY_REGISTERED,
-    Answer.TWICE: Code.TWICE_IN_REQUEST,
-    Answer.NOT_REGISTERED: Code.NOT_REGISTERED,
-    Answer.UNKNOWN_GROUP: Code.UNKNOWN_GROUP,
-    Answer.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER,
-    Answer.NO_CONTACT: Code.NO_CONTACT,
+    Result.DONE: Code.SUCCESS,
+    Result.NOT_ACCEPTED: Code.NOT_ACCEPTED,
+    Result.ALREADY_REGISTERED: Code.ALREADY_REGISTERED,
+    Result.DUPLICATE: Code.TWICE_IN_REQUEST,
+    Result.NOT_REGISTERED: Code.NOT_REGISTERED,
+    Result.UNKNOWN_GROUP: Code.UNKNOWN_GROUP,
+    Result.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER,
+    Result.NO_CONTACT: Code.NO_CONTACT,
 }
 REPLIES = {
     Kind.REGISTER: Kind.REGISTERED,
@@ -85,7 +85,7 @@
     """One TCP connection. A balancer that has spoken on it is advised through it."""
 
     def __init__(self, front, stream):
-        self.front, self.stream, self.register = front, stream, front.register
+        self.front, self.stream, self.registry = front, stream, front.registry
         self.outlets = {}
         self.reading, self.lock, self.stirred = wire.OWN, anyio.Lock(), anyio.Event()
         self.scope, self.reason = anyio.CancelScope(), "closed by the peer"
@@ -112,7 +112,7 @@
             for ident, outlet in self.outlets.items():
                 if self.front.outlets.get(ident) is outlet:
                     del self.front.outlets[ident]
-                    self.register.away(self.front.host.clock(), ident)
+                    self.registry.disconnected(self.front.host.clock(), ident)
                 self.front.host.left(ident, outlet, self.reason)
 
     async def read(self):
@@ -181,7 +181,7 @@
             return Code.SUCCESS
         if len(self.outlets) >= self.front.most_balancers:
             return Code.NOT_ACCEPTED
-        code = CODES[self.register.contact(ident)]
+        code = CODES[self.registry.contact(ident)]
         if code == Code.SUCCESS:
             outlet = self.outlets[ident] = Outlet(self, ident, name)
             self.front.take_over(ident, outlet)
@@ -202,7 +202,7 @@
         if code := self.of_balancers(message):
             return code
         return CODES[
-            self.register.register(
+            self.registry.register(
                 bool(message.flags & Flag.BALANCER),
                 [
                     (ident_of(group.balancer), door(group.name), [(m.server(), m) for m in members])
@@ -215,7 +215,7 @@
         if code := self.of_balancers(message):
             return code
         return CODES[
-            self.register.deregister(
+            self.registry.deregister(
                 bool(message.flags & Flag.BALANCER),
                 [
                     (ident_of(group.balancer), door(group.name), [m.server() for m in members])
@@ -228,7 +228,7 @@
         if code := self.of_balancers(message):
             return code
         return CODES[
-            self.register.set_members(
+            self.registry.set_members(
                 bool(message.flags & Flag.BALANCER),
                 [
                     (
@@ -245,7 +245,7 @@
         if code := self.speaks(message.balancer):
             return code
         flags, ident = message.flags, ident_of(message.balancer)
-        answer = self.register.set_balancer(
+        answer = self.registry.set_balancer(
             ident,
             bool(flags & Flag.PUSH),
             bool(flags & Flag.TRUST),
@@ -266,8 +266,8 @@
             ident = ident_of(group.balancer)
             if ident not in self.outlets:
                 return Code.UNKNOWN_BALANCER, (), ()
-            answer, found = self.register.asked(ident, door(group.name))
-            if answer is not Answer.DONE:
+            answer, found = self.registry.find_groups(ident, door(group.name))
+            if answer is not Result.DONE:
                 return CODES[answer], (), ()
             outlet = asked[ident] = self.outlets[ident]
             groups += [
@@ -284,7 +284,7 @@
     async def push(self):
         while True:
             for outlet in list(self.outlets.values()):
-                balancer = self.register.balancers.get(outlet.ident)
+                balancer = self.registry.balancers.get(outlet.ident)
                 if balancer and balancer.push and outlet.changed:
                     lines, version, ordered_at = outlet.take()
                     for group, weights in self.front.push_of(outlet, balancer, lines):
@@ -303,12 +303,12 @@
     def __init__(self, host, advice):
         self.host, self.log = host, structlog.get_logger("foxstep.sasp")
         self.most_balancers, self.most_bytes = advice["balancers"], advice["message"]
-        self.register = Register(
+        self.registry = Registry(
             advice["balancers"],
             advice["groups"],
             advice["members"],
             advice["keep"],
-            host.desk.advice.most_lines(),
+            host.desk.advice.max_lines(),
         )
         # A balancer that asks has to hear of a drain within the grace: twice in it, as whole seconds allow.
         self.interval = max(1, host.site["grace"] // (2 * SECOND))
@@ -322,16 +322,16 @@
 
     def read_rolls(self):
         """Tells the host of rolls that have changed."""
-        while (ident := self.register.next_changed()) is not None:
+        while (ident := self.registry.next_changed()) is not None:
             outlet = self.outlets.get(ident)
             if outlet:
-                self.host.advise(ident, outlet, self.register.roll(ident))
+                self.host.advise(ident, outlet, self.registry.members_by_group(ident))
 
     def weight(self, outlet, group, server, entry):
         """A member's weight as the balancer is to hold it."""
         held = outlet.holding.lines.get(ADVICE, {}) if outlet.holding else {}
         line = self.host.listed_lines.get(server)
-        state, weight = line[4] if line else "gone", held.get(key(group, server), 0)
+        state, weight = line[4] if line else "gone", held.get(line_name(group, server), 0)
         if server.endswith(":0"):
             state = "open" if weight else state  # a whole system: its servers' states are in the weight
         if state != "open":
@@ -343,14 +343,16 @@
             | (Flag.REGISTRATION if entry.by_balancer else 0)
             | (Flag.CONFIDENCE if warm else 0)
         )
-        return Weight(entry.shown, entry.state, int(flags), min(thousandths(weight), 0xFFFF) if weight else 0)
+        return Weight(
+            entry.wire_member, entry.state, int(flags), min(thousandths(weight), 0xFFFF) if weight else 0
+        )
 
     def push_of(self, outlet, balancer, lines):
         """(group, weights) for each message that tells a balancer of changed lines: these alone where it
         asked for no more, else all of their groups; so many at most in one."""
         changed = {}
         for name in lines:
-            group, server = parts(name)
+            group, server = split_line_name(name)
             if server in balancer.groups.get(group, ()):
                 changed.setdefault(group, {})[server] = None
         for group, servers in changed.items():
@@ -376,8 +378,8 @@
     async def forget(self):
         """Lets go of balancers that were away for long."""
         while True:
-            await anyio.sleep(self.register.keep / SECOND / 4)
-            while (ident := self.register.next_forgotten(self.host.clock())) is not None:
+            await anyio.sleep(self.registry.retention_us / SECOND / 4)
+            while (ident := self.registry.remove_expired(self.host.clock())) is not None:
                 self.log.info("forgotten", balancer=ident)
 
     async def run(self, listener):
--- a/foxstep/simhost/host.py
+++ b/foxstep/simhost/host.py
@@ -132,7 +132,7 @@
 
     def start(self, ident, fields):
         seed = int(fields.pop("randomSeed"))
-        site = names.site_of(fields)
+        site = names.parse_site(fields)
 
         def start_instance():
             self.load_fields[ident] = site.get("reports", [])
--- a/foxstep/store/form.py
+++ b/foxstep/store/form.py
@@ -10,7 +10,7 @@
 from foxstep.tables.rollback import Rollback
 from foxstep.tables.version import Version
 
-Line = tuple[str, str, str, int, str, float, int]  # interface.Listed
+Line = tuple[str, str, str, int, str, float, int]  # interface.ListedServer
 
 
 class KeptTable(msgspec.Struct, array_like=True):
--- a/foxstep/tables/desk.py
+++ b/foxstep/tables/desk.py
@@ -7,8 +7,8 @@
 
 from zlib import crc32
 
-from foxstep.advice.advice import Advice, parts
-from foxstep.advice.weigh import whole_system
+from foxstep.advice.advisor import Advisor, split_line_name
+from foxstep.advice.weights import member_values
 from foxstep.live.book import Message
 from foxstep.tables.compose import compose
 from foxstep.tables.evidence import Evidence
@@ -34,7 +34,7 @@
         self.transit = site["transit_most"]
         self.lag = self.transit + 2 * site["cycle"]
         self.ledger, self.rollbacks = Ledger(epoch, keep, site["me"]), Rollbacks()
-        self.evidence, self.advice = Evidence(self.lag), Advice(site)
+        self.evidence, self.advice = Evidence(self.lag), Advisor(site)
         self.standing = {}  # the module's word of the servers, as last told
         self.anew = {}  # advised ones that are to be told all, as a set in order
         self.allowed, self.fresh = {}, {}  # as last told; proxies to be shaped anew, as a set in order
@@ -81,7 +81,7 @@
 
     def enroll(self, proxy, groups):
         """One that is advised names its groups; all that it is to hold goes out anew."""
-        self.advice.enroll(proxy, groups)
+        self.advice.set_groups(proxy, groups)
         self.anew[proxy] = True
 
     # -- the batch
@@ -90,7 +90,11 @@
         """The messages that go out for a batch of orders: the module's own, cut for proxies that are pinned,
         those that a pin alone brings, and advice. `zones`: proxy -> zone of the joined ones; `standing` as
         the module tells it; `waiting`: lines that wait in the channel, these messages included."""
-        zones = {p: z for p, z in zones.items() if p not in self.advice.rolls or self.advice.rolls[p].groups}
+        zones = {
+            p: z
+            for p, z in zones.items()
+            if p not in self.advice.balancers or self.advice.balancers[p].groups
+        }
         self.standing = standing or {}
         self.fresh.update(dict.fromkeys(self.advice.due(now, self.standing, waiting)))
         self.fresh.update(dict.fromkeys(self.rollbacks.advance(now, zones, self.settled)))
@@ -118,7 +122,7 @@
 
     def meant(self, proxy, book, zone, of):
         """The lines that a proxy is to hold, or None where it has no table of its own yet."""
-        if proxy in self.advice.rolls:
+        if proxy in self.advice.balancers:
             return self.advised(proxy, zone, of)
         tables = book.bound.get(proxy)
         if not tables or tables[0] is None or len(set(tables)) > 1:
@@ -133,7 +137,7 @@
 
     def advised(self, proxy, zone, of):
         """The same of one that is advised: its roll's lines, where nothing pins it."""
-        roll = self.advice.rolls[proxy]
+        roll = self.advice.balancers[proxy]
         if not roll.lines:
             return None
         ordinary = {name: weight for name, weight in roll.lines.items() if weight}
@@ -142,7 +146,7 @@
         if not pinned:
             return ordinary
         of[proxy] = held.version
-        now = {name: whole_system(self.standing, parts(name)[1]) for name in roll.lines}
+        now = {name: member_values(self.standing, split_line_name(name)[1]) for name in roll.lines}
         named = {name: weight for name, weight in pinned.lines.items() if name in roll.lines}
         return compose(named, ordinary, {n: told[0] / told[1] for n, told in now.items() if told})
 
@@ -153,7 +157,9 @@
             return None
         if proxy in entry.fleet:
             return entry.fleet[proxy]
-        others = [p for p, table in entry.fleet.items() if not any(parts(name)[1] for name in table.lines)]
+        others = [
+            p for p, table in entry.fleet.items() if not any(split_line_name(name)[1] for name in table.lines)
+        ]
         near = min(others, key=lambda other: (crc32(f"{proxy} {other}".encode()), other), default=None)
         return near and entry.fleet[near]
 
@@ -162,12 +168,12 @@
         for proxy, lines in meant.items():
             message, known = by_proxy.get(proxy), before[proxy]
             table = self.ledger.table(proxy)
-            advised = proxy in self.advice.rolls
+            advised = proxy in self.advice.balancers
             name = ADVICE if advised else book.bound[proxy][0]
             if message is None:
                 message = Message(proxy, now, book.head)
             if self.anew.pop(proxy, False):  # those without a weight are told too
-                message.whole, lines = True, {**dict.fromkeys(self.advice.rolls[proxy].lines, 0), **lines}
+                message.whole, lines = True, {**dict.fromkeys(self.advice.balancers[proxy].lines, 0), **lines}
             pinned = table.of is not None or (known is not None and known.of is not None)
             if message.whole:
                 message.lines = {(name, s): w for s, w in lines.items()}
--- a/foxstep/xds/listing.py
+++ b/foxstep/xds/listing.py
@@ -27,7 +27,8 @@
 
 
 def read_list(response, cluster, wall_offset):
-    """Returns the list in a DiscoveryResponse as `interface.Listed` entries, start times on the host's clock.
+    """Returns the list in a DiscoveryResponse as `interface.ListedServer` entries, start times on the host's
+    clock.
 
     `wall_offset`: wall clock minus host clock, in microseconds. Raises Unsound for an invalid list:
     a list is used whole or not at all, and one without any server is handled like a failed call.
