--- a/foxstep/advice/registry.py
+++ b/foxstep/advice/registry.py
@@ -22,12 +22,12 @@
 
 
 class Entry:
-    """A server registered in a group. `wire_member` is the front's own object for it, not read here."""
+    """A server registered in a group. `shown` is the front's own object for it, not read here."""
 
-    __slots__ = ("wire_member", "by_balancer", "state", "quiesced")
+    __slots__ = ("shown", "by_balancer", "state", "quiesced")
 
-    def __init__(self, wire_member, by_balancer):
-        self.wire_member = wire_member
+    def __init__(self, shown, by_balancer):
+        self.shown = shown
         self.by_balancer = by_balancer  # whether the balancer registered it, or the member itself
         self.state = 0
         self.quiesced = False  # it asked for no new work
@@ -126,7 +126,7 @@
         return Result.DONE if by_balancer or balancer.trust else Result.NOT_ACCEPTED
 
     def register(self, by_balancer, groups):
-        """Registers members. `groups`: (balancer, group, [(server, wire_member)])."""
+        """Registers members. `groups`: (balancer, group, [(server, shown)])."""
         new = {}
         added = 0
         for ident, group, members in groups:
@@ -134,12 +134,12 @@
                 return answer
             registered = self.balancers[ident].groups
             servers = new.setdefault((ident, group), {})
-            for server, wire_member in members:
+            for server, shown in members:
                 if server in servers:
                     return Result.DUPLICATE
                 if server in registered.get(group, ()):
                     return Result.ALREADY_REGISTERED
-                servers[server] = wire_member
+                servers[server] = shown
                 added += 1
         for ident in dict.fromkeys(ident for ident, _ in new):
             names = {*self.balancers[ident].groups, *(g for b, g in new if b == ident)}
@@ -150,9 +150,7 @@
             return Result.NOT_ACCEPTED
         for (ident, group), servers in new.items():
             entries = self.balancers[ident].groups.setdefault(group, {})
-            entries.update(
-                (server, Entry(wire_member, by_balancer)) for server, wire_member in servers.items()
-            )
+            entries.update((server, Entry(shown, by_balancer)) for server, shown in servers.items())
             self.changed[ident] = None
         self.member_count += added
         return Result.DONE
--- a/foxstep/measure/joining.py
+++ b/foxstep/measure/joining.py
@@ -107,7 +107,7 @@
         "backlog": 22.0 * proxies,
         "egressPerS": 5.4 * proxies,
     }
-    return config.site_of({**SETTINGS, "familyInfo": family})
+    return config.site_from_settings({**SETTINGS, "familyInfo": family})
 
 
 def run(proxies, servers, part, seconds=10):
@@ -121,7 +121,10 @@
     host.channel.offer = counted.wrap("channel", host.channel.offer)
     host.channel.next_at = counted.wrap("channel", host.channel.next_at)
     acceptor = Acceptor(host, 2 * proxies, 192 << 20, lambda metrics: metrics)
-    written, streams.messages.written = messages.written, counted.wrap("encoding", messages.written)
+    written, streams.messages.encode_update = (
+        messages.encode_update,
+        counted.wrap("encoding", messages.encode_update),
+    )
     started, longest, last_at, tables = clock(), 0.0, 0, 0
     connections = [Connection(acceptor) for _ in range(proxies)]
 
@@ -179,7 +182,7 @@
             turn()
         reports = time.process_time() - began
     finally:
-        streams.messages.written = written
+        streams.messages.encode_update = written
     total = sum(joining.values())
     return {
         "proxies": proxies,
--- a/foxstep/node/config.py
+++ b/foxstep/node/config.py
@@ -128,7 +128,7 @@
             yield path, format_value(value)
 
 
-def site_of(settings):
+def site_from_settings(settings):
     """The map of settings that the decision module is created with. Raises ConfigError."""
     # The number of op types has to follow from the length of the list: a large `services.count` that is given
     # directly would make `names` allocate a map for each op type.
@@ -187,4 +187,4 @@
         raise ConfigError(f"seed: not a hexadecimal number: {config.seed[:40]!r}") from None
     if config.known:
         server_lines(config.known, 0)
-    return config, site_of(config.settings)
+    return config, site_from_settings(config.settings)
--- a/foxstep/node/messages.py
+++ b/foxstep/node/messages.py
@@ -144,7 +144,7 @@
     return parts
 
 
-def written(holding, message, names):
+def encode_update(holding, message, names):
     """Encodes a `live.book` message for its proxy; empty if there is nothing to write."""
     parts = split_into_parts(holding, message, names)
     for part in parts[:-1]:
--- a/foxstep/node/streams.py
+++ b/foxstep/node/streams.py
@@ -232,7 +232,7 @@
             self.marks[number] = (ordered_at, now)
             if len(self.marks) > MAX_PENDING_MARKS:
                 del self.marks[next(iter(self.marks))]
-        if data := messages.written(holding, message, self.host.names):
+        if data := messages.encode_update(holding, message, self.host.names):
             self.transport.write(data)
 
     # -- close
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -343,9 +343,7 @@
             | (Flag.REGISTRATION if entry.by_balancer else 0)
             | (Flag.CONFIDENCE if warm else 0)
         )
-        return Weight(
-            entry.wire_member, entry.state, int(flags), min(thousandths(weight), 0xFFFF) if weight else 0
-        )
+        return Weight(entry.shown, entry.state, int(flags), min(thousandths(weight), 0xFFFF) if weight else 0)
 
     def push_of(self, outlet, balancer, lines):
         """(group, weights) for each message that tells a balancer of changed lines: these alone where it
