--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -16,14 +16,14 @@
 from foxstep.peers.learning import Learning
 from foxstep.peers.sharing import Sharing
 from foxstep.sasp.front import SaspFront
-from foxstep.xds.front import MOST_REPORT, Front
+from foxstep.xds.front import MAX_REPORT_BYTES, Front
 from foxstep.xds.listing import ListClient
 from foxstep.xds.probes import Prober
 
 STOP_WITHIN = 0.3
 OPTIONS = [
     ("grpc.so_reuseport", 0),
-    ("grpc.max_receive_message_length", MOST_REPORT),
+    ("grpc.max_receive_message_length", MAX_REPORT_BYTES),
     ("grpc.max_concurrent_streams", 10_000),
     ("grpc.keepalive_time_ms", 5_000),
     ("grpc.keepalive_timeout_ms", 2_000),
--- a/foxstep/commands/servers.py
+++ b/foxstep/commands/servers.py
@@ -10,7 +10,7 @@
 
 from foxstep.site import Trouble
 from foxstep.xds import resources
-from foxstep.xds.listing import Unsound, read_list
+from foxstep.xds.listing import InvalidList, read_list
 
 
 async def fetch(address, cluster, within=5.0):
@@ -19,13 +19,15 @@
         call = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel).StreamEndpoints(timeout=within)
         await call.write(
             discovery_pb2.DiscoveryRequest(
-                node=resources.node("foxstep-servers", ""), resource_names=[cluster], type_url=resources.LINES
+                node=resources.node("foxstep-servers", ""),
+                resource_names=[cluster],
+                type_url=resources.ASSIGNMENT_TYPE,
             )
         )
         response = await call.read()
         call.cancel()
         if response is grpc.aio.EOF:
-            raise Unsound("the service ended the stream without a word")
+            raise InvalidList("the service ended the stream without a word")
         return read_list(response, cluster, 0)
 
 
@@ -34,7 +36,7 @@
         lines = anyio.run(fetch, address, cluster)
     except grpc.RpcError as error:
         raise Trouble(f"{address}: no list service answers there: {error.details()}") from None
-    except Unsound as error:
+    except InvalidList as error:
         raise Trouble(f"{address}: {error}") from None
     for ident, zone, kind, _, state, size, started in sorted(lines):
         age = f"up {time.time() - started / 1e6:.0f} s" if started else "up for long"
--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -58,10 +58,10 @@
         self.read_count = 0
         self.total_rates = [0.0, 0.0]  # tries and ops a microsecond of all proxies, by their newest reports
         self.reporting_counts = [0, 0]  # number of proxies with tries and with ops in their newest reports
-        self.taken = 0  # lines that were accepted
+        self.accepted_lines = 0
         self.refused = {}  # reason -> lines that were refused
         # Reports replaced by newer ones, reports scaled down, lines not read because of sampling.
-        self.overtaken = self.scaled_down = self.skipped = 0
+        self.overtaken = self.scaled_down = self.skipped_lines = 0
         self.last_round_at = None
         self.servers_with_load = {}  # servers whose own load report has arrived since the last round
 
@@ -102,11 +102,11 @@
                 step = min(self.pace.sampling_step(), max(1, lines // 4))
                 self.read_count += 1
                 first = crc32(f"{self.seed} {self.read_count}".encode()) % step
-                self.skipped += lines - len(range(first, lines, step))
+                self.skipped_lines += lines - len(range(first, lines, step))
                 return received_at, proxy, kind, report, lines, step, first, lost
         return None
 
-    def left(self, proxy, zone):
+    def remove_proxy(self, proxy, zone):
         """Removes a proxy whose streams are down."""
         queue = self.waiting.get(zone, {})
         for key in [key for key in queue if key[0] == proxy]:
@@ -146,7 +146,7 @@
         """
         reporter, sums, loads, total = self.reporting_proxy(now, proxy, zone), {}, {}, 0
         allowed = self.reportable_servers(now, proxy, reporter)
-        self.taken += len(lines)
+        self.accepted_lines += len(lines)
         known, valid = self.known_server, self.is_valid((), window)
         for server, tries, aborted, latency, load, weight in lines if valid else ():
             if not known(server):
@@ -203,7 +203,7 @@
         """Adds a proxy's report of the ops it received: (op type, ops, unanswered)."""
         reporter, usage, total = self.reporting_proxy(now, proxy, zone), {}, 0
         for op_type, ops, unanswered in lines:
-            self.taken += 1
+            self.accepted_lines += 1
             if self.is_valid((ops, unanswered), window):
                 usage[op_type] = (ops, min(unanswered, ops))
                 total += ops
@@ -236,7 +236,7 @@
         self.last_round_at = now
         self.servers_with_load = {}
         self.pace.round(now, duration)
-        self.sums.interval = self.pace.asked
+        self.sums.interval = self.pace.requested_interval
         self.sums.start_round(now)
         lines = 0
         for verb, *fields in self.sums.next_lines():
@@ -252,15 +252,15 @@
     def view(self):
         """Returns plain values for an operator."""
         return {
-            "asked_ms": self.pace.asked // 1000,
-            "use": round(self.pace.use(), 3),
-            "cost_us": round(self.pace.cost, 1),
+            "asked_ms": self.pace.requested_interval // 1000,
+            "use": round(self.pace.utilization(), 3),
+            "cost_us": round(self.pace.line_cost_us, 1),
             "step": self.pace.sampling_step(),
             "waiting": sum(map(len, self.waiting.values())),
             "overtaken": self.overtaken,
             "cut": self.scaled_down,
-            "skipped_lines": self.skipped,
+            "skipped_lines": self.skipped_lines,
             "refused": dict(self.refused),
-            "taken": self.taken,
+            "taken": self.accepted_lines,
             "proxies": len(self.proxies),
         }
--- a/foxstep/intake/latencies.py
+++ b/foxstep/intake/latencies.py
@@ -22,7 +22,7 @@
         self.line_count = 0  # modulo SAMPLE_EVERY
         self.current, self.previous = {}, {}  # (op type, server) -> sketch
 
-    def note(self, op_type, server, latency, acked):
+    def record(self, op_type, server, latency, acked):
         """Adds `acked` ops with a mean time of `latency` microseconds.
 
         Only every `SAMPLE_EVERY`-th call counts, with a weight of as many calls.
@@ -36,7 +36,7 @@
             sketch = self.current[key] = DDSketch(RELATIVE_ACCURACY)
         sketch.add(latency, acked * SAMPLE_EVERY)
 
-    def turn(self, now):
+    def rotate(self, now):
         """Begins a new generation of sketches if the current one has ended."""
         if self.generation_ends is None:
             self.generation_ends = now + self.generation_us
--- a/foxstep/intake/pace.py
+++ b/foxstep/intake/pace.py
@@ -78,8 +78,8 @@
     def __init__(self, cycle, cpu_share):
         self.cycle = cycle
         self.cpu_share = cpu_share
-        self.cost = INITIAL_LINE_COST_US
-        self.asked = cycle
+        self.line_cost_us = INITIAL_LINE_COST_US
+        self.requested_interval = cycle
         self.overloaded_rounds = self.low_load_rounds = 0
         self.patience = 1
         self.was_shortened = False  # the last change of the interval was to a shorter one
@@ -96,20 +96,20 @@
         """Returns the microseconds for which a stream waits after a report before its next is received."""
         self.shared_limiter = self.shared_limiter or SharedRateLimiter(now)
         return max(
-            stream_limiter.delay_after_report(now, self.asked),
-            self.shared_limiter.delay_after_report(now, self.cpu_share, MESSAGE_LINES * self.cost),
+            stream_limiter.delay_after_report(now, self.requested_interval),
+            self.shared_limiter.delay_after_report(now, self.cpu_share, MESSAGE_LINES * self.line_cost_us),
         )
 
-    def read(self, lines, duration):
+    def record_cost(self, lines, duration):
         """Records that reading `lines` lines took `duration` microseconds."""
         if lines >= 16:
-            self.cost += COST_SMOOTHING * (duration / lines - self.cost)
+            self.line_cost_us += COST_SMOOTHING * (duration / lines - self.line_cost_us)
 
     def line_budget(self, duration):
         """Returns the number of lines that may be read in `duration` microseconds."""
-        return max(1.0, self.cpu_share * duration / max(self.cost, 0.01))
+        return max(1.0, self.cpu_share * duration / max(self.line_cost_us, 0.01))
 
-    def use(self):
+    def utilization(self):
         """Returns the load of the recent rounds as a ratio to the budget."""
         return self.load
 
@@ -130,21 +130,24 @@
         self.low_load_rounds = (
             self.low_load_rounds + 1 if 2 * self.load < SHORTEN_BELOW_LOAD and not late else 0
         )
-        before = self.asked
+        before = self.requested_interval
         if self.overloaded_rounds >= LENGTHEN_AFTER_ROUNDS:
-            self.asked = min(self.asked * 2, MAX_INTERVAL_CYCLES * self.cycle)
+            self.requested_interval = min(self.requested_interval * 2, MAX_INTERVAL_CYCLES * self.cycle)
             self.patience = min(self.patience * 2, MAX_PATIENCE) if self.was_shortened else self.patience
             self.was_shortened = False
-        elif self.low_load_rounds >= SHORTEN_AFTER_ROUNDS * self.patience and self.asked > self.cycle:
-            self.asked = max(self.asked // 2, self.cycle)
+        elif (
+            self.low_load_rounds >= SHORTEN_AFTER_ROUNDS * self.patience
+            and self.requested_interval > self.cycle
+        ):
+            self.requested_interval = max(self.requested_interval // 2, self.cycle)
             self.was_shortened = True
-        if self.asked != before:
+        if self.requested_interval != before:
             self.overloaded_rounds = self.low_load_rounds = 0
-            self.settled_at = now + 2 * max(self.asked, before)
-        return self.asked != before
+            self.settled_at = now + 2 * max(self.requested_interval, before)
+        return self.requested_interval != before
 
     def proxy_interval(self, jitter):
         """Returns the interval for one proxy; `jitter`: a number from 0 to 1 that is fixed for the proxy."""
-        if self.asked <= self.cycle:
+        if self.requested_interval <= self.cycle:
             return self.cycle
-        return round(self.asked * (1 + INTERVAL_JITTER * (2 * jitter - 1)))
+        return round(self.requested_interval * (1 + INTERVAL_JITTER * (2 * jitter - 1)))
--- a/foxstep/intake/sums.py
+++ b/foxstep/intake/sums.py
@@ -68,8 +68,10 @@
         self.cycle = cycle
         self.max_lines = max(2, max_lines)
         self.interval = cycle
-        self.met = OrderedDict()  # (server, zone) -> [tries, aborted, timed, total, load], oldest first
-        self.came = OrderedDict()  # (proxy, op type) -> [ops, unanswered, window], oldest first
+        # (server, zone) -> [tries, aborted, timed, total, load], oldest first
+        self.server_sums = OrderedDict()
+        # (proxy, op type) -> [ops, unanswered, window], oldest first
+        self.proxy_sums = OrderedDict()
         self.accounts = {}  # (proxy, whether of tries) -> Account, while it is joined or overdue
         self.round_number = 0
         self.ring = [[] for _ in range(RING_ROUNDS)]  # what later rounds add: (add, arguments, factor)
@@ -96,7 +98,7 @@
         account.received_at, account.window, account.last_report = now, window, (zone, lines)
         self.spread(self.accumulate_tries, (zone, lines), factor)
         for server, load in loads.items():
-            sums = self.met.get((server, zone))
+            sums = self.server_sums.get((server, zone))
             if sums is not None:
                 sums[4] = {**(sums[4] or {}), **load}
         return factor
@@ -104,7 +106,7 @@
     def accumulate_tries(self, zone, lines, factor):
         if not factor:
             return
-        server_sums = self.met
+        server_sums = self.server_sums
         for server, (tries, aborted, timed, total) in lines.items():
             sums = server_sums.get((server, zone))
             if sums is None:
@@ -139,11 +141,11 @@
         if not factor:
             return
         for op_type, (ops, unanswered) in usage.items():
-            sums = self.came.get((proxy, op_type))
+            sums = self.proxy_sums.get((proxy, op_type))
             if sums is None:
                 if not ops:
                     continue  # nothing to pass on, and nothing waits
-                sums = self.came[proxy, op_type] = [0.0, 0.0, 0.0]
+                sums = self.proxy_sums[proxy, op_type] = [0.0, 0.0, 0.0]
             sums[0] += ops * factor
             sums[1] += unanswered * factor
             sums[2] += window * factor
@@ -199,7 +201,7 @@
     def line_shares(self):
         """Returns the lines of a round for servers and for proxies: in proportion to how many wait, at least
         one each."""
-        servers, proxies = len(self.met), len(self.came)
+        servers, proxies = len(self.server_sums), len(self.proxy_sums)
         if servers + proxies <= self.max_lines:
             return servers, proxies
         for_servers = min(max(round(self.max_lines * servers / (servers + proxies)), 1), self.max_lines - 1)
@@ -213,29 +215,29 @@
         """
         for_servers, for_proxies = self.line_shares()
         count = 0
-        for key in list(self.met)[:for_servers]:
+        for key in list(self.server_sums)[:for_servers]:
             line = self.server_line(key)
             if line:
                 count += 1
                 yield line
-        for key in list(self.came)[: max(for_proxies, self.max_lines - count)]:
+        for key in list(self.proxy_sums)[: max(for_proxies, self.max_lines - count)]:
             line = self.proxy_line(key)
             if line:
                 yield line
 
     def server_line(self, key):
-        tries, aborted, timed, total, load = sums = self.met[key]
+        tries, aborted, timed, total, load = sums = self.server_sums[key]
         whole_tries = int(tries + 1e-9)
         if not whole_tries:
-            self.met.move_to_end(key)  # less than one try: it waits for more
+            self.server_sums.move_to_end(key)  # less than one try: it waits for more
             if tries < 1e-6:
-                del self.met[key]
+                del self.server_sums[key]
             return None
         whole_aborted = min(int(aborted + 1e-9), whole_tries)
         latency = round(total / timed) if timed > 1e-9 else 0
         remainder = 1 - whole_tries / tries
         if remainder * tries < 1e-6:
-            del self.met[key]
+            del self.server_sums[key]
         else:  # the times are split in proportion to the tries that remain
             sums[:] = [
                 tries - whole_tries,
@@ -244,21 +246,21 @@
                 total * remainder,
                 None,
             ]
-            self.met.move_to_end(key)
+            self.server_sums.move_to_end(key)
         return ("heard", key[0], key[1], whole_tries, whole_aborted, latency, self.cycle, load)
 
     def proxy_line(self, key):
-        ops, unanswered, window = sums = self.came[key]
+        ops, unanswered, window = sums = self.proxy_sums[key]
         whole_ops = int(ops + 1e-9)
         if ops - whole_ops < 1e-6:
-            del self.came[key]
+            del self.proxy_sums[key]
             return (
                 ("used", key[0], key[1], whole_ops, min(round(unanswered), whole_ops), round(window))
                 if (whole_ops or window >= self.cycle)
                 else None
             )
         whole_unanswered = min(int(unanswered + 1e-9), whole_ops)
-        self.came.move_to_end(key)
+        self.proxy_sums.move_to_end(key)
         if not whole_ops:
             return None
         remainder = 1 - whole_ops / ops
--- a/foxstep/live/reader.py
+++ b/foxstep/live/reader.py
@@ -27,7 +27,7 @@
             came, proxy, kind, report, lines, step, first, lost = found
             self.read[kind](came, proxy, report, step, first, lost)
             now = time.thread_time()
-            self.intake.pace.read(lines // step, (now - before) * 1e6)
+            self.intake.pace.record_cost(lines // step, (now - before) * 1e6)
             if now - began > SLICE:
                 return True
             before = now
--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -112,7 +112,7 @@
         super().gone(joined)
         self.desk.left(joined.ident)
         self.repairs.forget(joined.ident)
-        self.intake.left(joined.ident, joined.zone)
+        self.intake.remove_proxy(joined.ident, joined.zone)
 
     def left(self, ident, outlet, reason=""):
         joined = self.of(ident, outlet)
@@ -187,15 +187,15 @@
             self.next_round = max(self.next_round + self.site["cycle"], now + self.site["cycle"] // 2)
             if self.channel.owed:  # the channel could not take what was ordered: no version to go back to
                 self.desk.evidence.rule_broken(now)
-            self.latencies.turn(now)
-            asked = self.intake.pace.asked
+            self.latencies.rotate(now)
+            asked = self.intake.pace.requested_interval
             if self.intake.round(self.controller, now, self.desk.evidence):
                 self.stir("reports")
-            if asked != self.intake.pace.asked:
+            if asked != self.intake.pace.requested_interval:
                 self.log.info(
                     "reports asked for",
-                    every_ms=self.intake.pace.asked // 1000,
-                    use=round(self.intake.pace.use(), 2),
+                    every_ms=self.intake.pace.requested_interval // 1000,
+                    use=round(self.intake.pace.utilization(), 2),
                 )
                 self.asked_anew()
         while (ident := self.repairs.next_due(now)) is not None:
--- a/foxstep/measure/first_intake.py
+++ b/foxstep/measure/first_intake.py
@@ -1,6 +1,6 @@
 """The first version's intake, kept as the baseline of `measure-intake`: each line a call, sums by server."""
 
-from foxstep.xds.loads import micros
+from foxstep.xds.load_reports import duration_us
 
 MINUTE, MOST = 60_000_000, 10_000_000
 
@@ -56,7 +56,7 @@
 
     def read(self, zone, request, op_types):
         for stats in request.cluster_stats:
-            window = micros(stats.load_report_interval)
+            window = duration_us(stats.load_report_interval)
             if stats.cluster_name in op_types:
                 for locality in stats.upstream_locality_stats:
                     finished = locality.total_successful_requests + locality.total_error_requests
--- a/foxstep/measure/fleet.py
+++ b/foxstep/measure/fleet.py
@@ -19,7 +19,7 @@
 from foxstep.site.load import EXAMPLES
 from foxstep.standins.lists import ListService
 from foxstep.xds import resources
-from foxstep.xds.front import QUOTAS, TABLES
+from foxstep.xds.front import QUOTAS_FEATURE, TABLES_FEATURE
 
 clock = time.monotonic
 SITE = os.path.join(EXAMPLES, "measured.jsonnet")
@@ -42,19 +42,19 @@
 
     def __init__(self, channel, ident, zone):
         self.channel, self.node = channel, resources.node(ident, zone, rate=5.0)
-        self.node.client_features.append(QUOTAS)
+        self.node.client_features.append(QUOTAS_FEATURE)
         self.held, self.tables, self.size, self.changed_size, self.changed = {}, 0, 0, 0, 0
         self.reports = None
 
     async def follow_changes(self):
         """The incremental form: accepts every change."""
         call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(self.channel).DeltaAggregatedResources()
-        self.node.client_features.append(TABLES)
+        self.node.client_features.append(TABLES_FEATURE)
         await call.write(
             discovery_pb2.DeltaDiscoveryRequest(
                 node=self.node,
-                type_url=resources.LINE,
-                resource_names_subscribe=[resources.collection("measured", resources.EVERY)],
+                type_url=resources.ENDPOINT_TYPE,
+                resource_names_subscribe=[resources.collection_name("measured", resources.SHARED_ASSIGNMENT)],
             )
         )
         while (response := await call.read()) is not grpc.aio.EOF:
@@ -74,14 +74,16 @@
         call = ads_pb2_grpc.AggregatedDiscoveryServiceStub(self.channel).StreamAggregatedResources()
         await call.write(
             discovery_pb2.DiscoveryRequest(
-                node=self.node, type_url=resources.LINES, resource_names=[resources.EVERY]
+                node=self.node,
+                type_url=resources.ASSIGNMENT_TYPE,
+                resource_names=[resources.SHARED_ASSIGNMENT],
             )
         )
         while (response := await call.read()) is not grpc.aio.EOF:
             await call.write(
                 discovery_pb2.DiscoveryRequest(
                     type_url=response.type_url,
-                    resource_names=[resources.EVERY],
+                    resource_names=[resources.SHARED_ASSIGNMENT],
                     version_info=response.version_info,
                     response_nonce=response.nonce,
                 )
--- a/foxstep/xds/delta.py
+++ b/foxstep/xds/delta.py
@@ -16,8 +16,8 @@
 ORDER = [
     resources.LISTENER_TYPE,
     resources.CLUSTER_TYPE,
-    resources.LINES,
-    resources.LINE,
+    resources.ASSIGNMENT_TYPE,
+    resources.ENDPOINT_TYPE,
     resources.ROUTES_TYPE,
 ]
 
@@ -50,8 +50,8 @@
         self.response_count = 0
         self.subscriptions = {}
 
-    def ask(self, request):
-        """Handles a DeltaDiscoveryRequest; returns and raises as `Session.ask` does."""
+    def handle_request(self, request):
+        """Handles a DeltaDiscoveryRequest; returns and raises as `Session.handle_request` does."""
         type_url = request.type_url
         if type_url not in ORDER:
             return None
@@ -68,7 +68,7 @@
         new = [name for name in request.resource_names_subscribe if name not in subscription.names]
         if new:
             subscription.names.update(dict.fromkeys(new))
-            subscription.due = True
+            subscription.is_due = True
         return answer
 
     def handle_answer(self, subscription, request):
@@ -79,7 +79,7 @@
         if request.HasField("error_detail"):
             # Later changes build on the rejected one and would be rejected too, so the host orders a whole
             # table.
-            subscription.awaits_table = request.type_url == resources.LINE
+            subscription.awaits_table = request.type_url == resources.ENDPOINT_TYPE
             subscription.replace_all = True
             subscription.unanswered.clear()
             if not subscription.awaits_table:
@@ -87,12 +87,12 @@
             return "refused", request.error_detail.message, version
         return "accepted", marks, ordered, version
 
-    def due(self, type_urls, marks=(), stamp=None, whole=False):
-        """As `Session.due`; `whole`: the order contains all that the client is to hold."""
+    def schedule(self, type_urls, marks=(), stamp=None, whole=False):
+        """As `Session.schedule`; `whole`: the order contains all that the client is to hold."""
         for type_url in type_urls:
             subscription = self.subscriptions.setdefault(type_url, Subscription())
             subscription.schedule(marks, stamp)
-            if type_url == resources.LINE and whole and subscription.awaits_table:
+            if type_url == resources.ENDPOINT_TYPE and whole and subscription.awaits_table:
                 subscription.awaits_table = False
                 subscription.replace_all = True
             marks, stamp = (), None
@@ -102,12 +102,12 @@
             subscription = self.subscriptions.get(type_url)
             if (
                 subscription is None
-                or not subscription.due
+                or not subscription.is_due
                 or not subscription.names
                 or subscription.awaits_table
             ):
                 continue
-            subscription.due = False
+            subscription.is_due = False
             rendered = self.render(type_url, list(subscription.names))
             if rendered is None:
                 continue
@@ -119,7 +119,7 @@
     def response(self, type_url, subscription, rendered):
         """Returns the response that brings the client from what it holds to `rendered`, or None if there is
         nothing to send."""
-        table_name = self.weights()[1] if type_url == resources.LINE else None
+        table_name = self.weights()[1] if type_url == resources.ENDPOINT_TYPE else None
         versions = {name: version for name, (version, _) in rendered.items()}
         changed = [name for name, version in versions.items() if subscription.held.get(name) != version]
         removed = [name for name in subscription.held if name not in versions]
@@ -128,7 +128,7 @@
             return None
         response = discovery_pb2.DeltaDiscoveryResponse(type_url=type_url)
         whole = (
-            type_url == resources.LINE
+            type_url == resources.ENDPOINT_TYPE
             and self.checks_hashes
             and (subscription.replace_all or self.whole_is_smaller(rendered, changed, removed))
         )
@@ -139,7 +139,7 @@
             response.removed_resources.extend(removed)
         self.response_count += 1
         response.nonce = subscription.next_nonce(self.epoch, self.response_count)
-        if type_url == resources.LINE:
+        if type_url == resources.ENDPOINT_TYPE:
             weights, name = self.weights()
             base = "-" if whole else resources.hash_of_versions(subscription.held)
             response.system_version_info = f"{name} {base} {content_hash(weights)}"
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -13,7 +13,7 @@
 from envoy.type.v3 import ratelimit_strategy_pb2
 
 from foxstep.intake.pace import StreamRateLimiter
-from foxstep.xds import loads, resources
+from foxstep.xds import load_reports, resources
 from foxstep.xds.cancellation import with_timeout
 from foxstep.xds.delta import DeltaSession
 from foxstep.xds.session import Session, TooManyNames
@@ -21,16 +21,16 @@
 SECOND_US = 1_000_000
 HANDSHAKE_TIMEOUT_S = 10.0  # from the start of a stream to its first request
 WRITE_TIMEOUT_S = 30.0  # after which the stream of a client that reads nothing is ended
-MOST_REPORT = 4 * 1024 * 1024
+MAX_REPORT_BYTES = 4 * 1024 * 1024
 UNLIMITED_RATE = 1_000_000  # ops a second: a rate level from here on rejects nothing
-QUOTAS = "foxstep.quotas"  # client feature: rate levels reach it as quota assignments
+QUOTAS_FEATURE = "foxstep.quotas"  # client feature: rate levels reach it as quota assignments
 HOME_FEATURE = "foxstep.home"  # client feature: it dials the controller that the stream's end names
 HOME_METADATA_KEY = "foxstep-home"  # trailing metadata: address of the controller to dial
-TABLES = "foxstep.tables"  # client feature: it checks the base and result hashes of a change
+TABLES_FEATURE = "foxstep.tables"  # client feature: it checks the base and result hashes of a change
 # Order of preference of the type whose response carries the marks.
 MARK_CARRIER_ORDER = [
-    resources.LINE,
-    resources.LINES,
+    resources.ENDPOINT_TYPE,
+    resources.ASSIGNMENT_TYPE,
     resources.ROUTES_TYPE,
     resources.CLUSTER_TYPE,
 ]
@@ -54,7 +54,7 @@
         self.ident = node.id
         self.zone = node.locality.zone
         self.rate = min(max(reported_rate, 0.0), UNLIMITED_RATE)
-        self.supports_quotas = QUOTAS in node.client_features
+        self.supports_quotas = QUOTAS_FEATURE in node.client_features
         self.held_version = metadata["holds"].string_value if "holds" in metadata else ""
         self.incremental = incremental
         self.goes_home = HOME_FEATURE in node.client_features
@@ -62,7 +62,7 @@
         epoch = front.host.epoch
         if incremental:
             self.session = DeltaSession(
-                self.render_versioned, self.weights, epoch, TABLES in node.client_features
+                self.render_versioned, self.weights, epoch, TABLES_FEATURE in node.client_features
             )
         else:
             self.session = Session(self.render, epoch, self.table_version)
@@ -87,9 +87,9 @@
         if message.tables and not self.supports_quotas:
             type_urls.append(resources.CLUSTER_TYPE)
         if (lines and not self.incremental) or levels:
-            type_urls.append(resources.LINES)
+            type_urls.append(resources.ASSIGNMENT_TYPE)
         if lines and self.incremental:
-            type_urls.append(resources.LINE)
+            type_urls.append(resources.ENDPOINT_TYPE)
         if message.levels or message.whole:
             type_urls.append(resources.ROUTES_TYPE)
         if message.levels or message.whole or self.holding is not holding:
@@ -97,13 +97,13 @@
         self.holding = holding
         # A mark requires an ACK, so the table is written for it even if only rates have changed.
         if message.marks and not type_urls:
-            type_urls.append(resources.LINE if self.incremental else resources.LINES)
+            type_urls.append(resources.ENDPOINT_TYPE if self.incremental else resources.ASSIGNMENT_TYPE)
         type_urls.sort(key=MARK_CARRIER_ORDER.index)
         stamp = (message.first_at, message.cost)
         if self.incremental:
-            self.session.due(type_urls, message.marks, stamp, message.whole)
+            self.session.schedule(type_urls, message.marks, stamp, message.whole)
         else:
-            self.session.due(type_urls, message.marks, stamp)
+            self.session.schedule(type_urls, message.marks, stamp)
         self.wakeup.set()
 
     def end(self, reason):
@@ -129,7 +129,11 @@
         """Returns the name of the assignment that an op type's cluster refers to."""
         one_table = self.holding is None or len(set(self.holding.tables)) == 1
         op_types = self.front.op_types
-        return resources.EVERY if one_table and not self.levels_as_drops() else op_types[index]["name"]
+        return (
+            resources.SHARED_ASSIGNMENT
+            if one_table and not self.levels_as_drops()
+            else op_types[index]["name"]
+        )
 
     def admitted_share(self, index):
         """Returns the fraction of an op type's ops to admit, or None if its level isn't written as drops."""
@@ -148,7 +152,7 @@
         return self.front.host.allowed_tries(index, usual)
 
     def table_version(self, type_url):
-        table = self.holding.meant if type_url == resources.LINES and self.holding else None
+        table = self.holding.meant if type_url == resources.ASSIGNMENT_TYPE and self.holding else None
         return table.name() if table else None
 
     def weights(self):
@@ -162,8 +166,8 @@
 
     def render_versioned(self, type_url, names):
         """Returns name -> (version, message), for an incremental session."""
-        if type_url == resources.LINE:
-            pattern = resources.collection(self.front.site_name, resources.EVERY)
+        if type_url == resources.ENDPOINT_TYPE:
+            pattern = resources.collection_name(self.front.site_name, resources.SHARED_ASSIGNMENT)
             weights = self.weights()[0]
             if pattern not in names or self.holding is None or not weights:
                 return None
@@ -175,7 +179,7 @@
                 for s, w in weights.items()
             }
         messages = self.render(type_url, names)
-        if type_url == resources.LINES:
+        if type_url == resources.ASSIGNMENT_TYPE:
             messages = {
                 name: resources.with_collection(message, self.front.site_name)
                 for name, message in messages.items()
@@ -201,10 +205,10 @@
             }
         assignments = {}
         for index, op_type in enumerate(front.op_types):
-            for name in (op_type["name"], resources.EVERY):
+            for name in (op_type["name"], resources.SHARED_ASSIGNMENT):
                 weights = self.holding and name in names and self.holding.lines_of(index)
                 if weights is not None and weights is not False and name not in assignments:
-                    share = self.admitted_share(index) if name != resources.EVERY else None
+                    share = self.admitted_share(index) if name != resources.SHARED_ASSIGNMENT else None
                     assignments[name] = resources.assignment_of(
                         name, weights, front.zone_of, site_name, share
                     )
@@ -378,7 +382,7 @@
         if incremental:
             held_version, fresh = stream.held_version, not first.initial_resource_versions
         else:
-            held_version = first.version_info if first.type_url == resources.LINES else ""
+            held_version = first.version_info if first.type_url == resources.ASSIGNMENT_TYPE else ""
             fresh = not first.version_info
         self.host.joined(ident, stream.zone, stream.rate, fresh, stream, held_version)
         reason = "cancelled"
@@ -401,7 +405,7 @@
             self.handle_request(stream, request)
 
     def handle_request(self, stream, request):
-        answer = stream.session.ask(request)
+        answer = stream.session.handle_request(request)
         if answer and answer[0] == "refused":
             self.host.refused(stream.ident, stream, *answer[1:])
         elif answer:
@@ -432,7 +436,7 @@
             # Only reports of joined proxies are read: the others' are for another controller.
             if stream and request.cluster_stats:
                 self.host.reader.offer(
-                    self.host.clock(), ident, zone, TRIES, (stream, request), loads.size(request)
+                    self.host.clock(), ident, zone, TRIES, (stream, request), load_reports.line_count(request)
                 )
             if delay := self.host.intake.pace.delay_after_report(self.host.clock(), limiter):
                 await anyio.sleep(delay / SECOND_US)
@@ -443,7 +447,7 @@
         if self.streams.get(ident) is not stream:
             return
         usage_by_quotas = ident in self.quota_streams
-        loads.read_tries(
+        load_reports.read_tries(
             self.host.intake,
             received_at,
             ident,
@@ -454,14 +458,14 @@
             step,
             first,
             lost,
-            self.host.latencies.note,
+            self.host.latencies.record,
         )
         if not stream.supports_quotas:
             for stats in request.cluster_stats:
                 self.record_rate(stream, stats)
 
     def record_rate(self, stream, stats):
-        window = loads.micros(stats.load_report_interval)
+        window = load_reports.duration_us(stats.load_report_interval)
         if stats.cluster_name in self.op_type_index and window > 0:
             issued = sum(s.total_issued_requests for s in stats.upstream_locality_stats)
             stream.reported_rates[self.op_type_index[stats.cluster_name]] = (
@@ -471,7 +475,7 @@
     def read_usage(self, received_at, ident, report, step, first, lost):
         stream = self.streams.get(ident)
         if stream:
-            loads.read_usage(
+            load_reports.read_usage(
                 self.host.intake, received_at, ident, stream.zone, report, self.op_type_index, lost
             )
 
@@ -494,7 +498,9 @@
                     quotas.ident = ident
                     self.quota_streams[ident] = quotas
             if quotas.ident:
-                quotas.op_types.update(dict.fromkeys(loads.bucket_op_types(report, self.op_type_index)))
+                quotas.op_types.update(
+                    dict.fromkeys(load_reports.bucket_op_types(report, self.op_type_index))
+                )
                 quotas.wakeup.set()
                 stream = self.streams.get(quotas.ident)
                 if stream:
--- a/foxstep/xds/listing.py
+++ b/foxstep/xds/listing.py
@@ -22,7 +22,7 @@
 DRAINING_STATUSES = (health_check_pb2.DRAINING, health_check_pb2.UNHEALTHY)
 
 
-class Unsound(ValueError):
+class InvalidList(ValueError):
     """A server list that is invalid; the text says why."""
 
 
@@ -30,28 +30,28 @@
     """Returns the list in a DiscoveryResponse as `interface.ListedServer` entries, start times on the host's
     clock.
 
-    `wall_offset`: wall clock minus host clock, in microseconds. Raises Unsound for an invalid list:
+    `wall_offset`: wall clock minus host clock, in microseconds. Raises InvalidList for an invalid list:
     a list is used whole or not at all, and one without any server is handled like a failed call.
     """
     assignment = None
     for resource in response.resources:
         message = endpoint_pb2.ClusterLoadAssignment()
         if not resource.Unpack(message):
-            raise Unsound(f"resource is not an assignment but {resource.type_url[:100]}")
+            raise InvalidList(f"resource is not an assignment but {resource.type_url[:100]}")
         if message.cluster_name == cluster:
             assignment = message
     if assignment is None:
-        raise Unsound(f"no assignment named {cluster}")
+        raise InvalidList(f"no assignment named {cluster}")
     entries = {}
     for group in assignment.endpoints:
         for endpoint in group.lb_endpoints:
             address = endpoint.endpoint.address.socket_address
             if not address.address or not 0 < address.port_value < 65536:
-                raise Unsound(f"entry {len(entries)} without an address")
+                raise InvalidList(f"entry {len(entries)} without an address")
             host = f"[{address.address}]" if ":" in address.address else address.address
             ident = f"{host}:{address.port_value}"
             if ident in entries:
-                raise Unsound(f"{ident} listed twice")
+                raise InvalidList(f"{ident} listed twice")
             metadata = endpoint.metadata.filter_metadata.get("foxstep")
             metadata = {} if metadata is None else dict(metadata)
             try:
@@ -59,7 +59,7 @@
                 size = float(metadata.get("size", 1))
                 started_at = max(round(started * SECOND_US) - wall_offset, 1) if started else 0
             except (TypeError, ValueError, OverflowError):
-                raise Unsound(f"{ident}: cell, size and started are numbers") from None
+                raise InvalidList(f"{ident}: cell, size and started are numbers") from None
             state = "draining" if endpoint.health_status in DRAINING_STATUSES else "open"
             entries[ident] = (
                 ident,
@@ -71,9 +71,9 @@
                 started_at,
             )
             if len(entries) > MAX_SERVERS:
-                raise Unsound(f"over {MAX_SERVERS} servers")
+                raise InvalidList(f"over {MAX_SERVERS} servers")
     if not entries:
-        raise Unsound("no server at all")
+        raise InvalidList("no server at all")
     return list(entries.values())
 
 
@@ -108,7 +108,7 @@
                 self.requested = anyio.Event()
                 try:
                     reason = await self.follow(channel)
-                except (grpc.RpcError, asyncio.InvalidStateError, Unsound, TimeoutError) as error:
+                except (grpc.RpcError, asyncio.InvalidStateError, InvalidList, TimeoutError) as error:
                     details = error.details() if isinstance(error, grpc.RpcError) else str(error)
                     reason = details or "no response"
                 except asyncio.CancelledError:
@@ -123,7 +123,7 @@
         stub = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel)
         call = stub.StreamEndpoints()
         request = discovery_pb2.DiscoveryRequest(
-            node=self.node, resource_names=[self.cluster], type_url=resources.LINES
+            node=self.node, resource_names=[self.cluster], type_url=resources.ASSIGNMENT_TYPE
         )
         try:
             timeout_s = self.host.site["ask_within"] / SECOND_US / 2
@@ -131,13 +131,15 @@
             response = await with_timeout(timeout_s, call.read())
             while response is not grpc.aio.EOF:
                 request = discovery_pb2.DiscoveryRequest(
-                    resource_names=[self.cluster], type_url=resources.LINES, response_nonce=response.nonce
+                    resource_names=[self.cluster],
+                    type_url=resources.ASSIGNMENT_TYPE,
+                    response_nonce=response.nonce,
                 )
                 try:
                     entries = read_list(response, self.cluster, self.host.wall_offset)
                     request.version_info = response.version_info
                     self.host.listed("whole", entries)
-                except Unsound as error:
+                except InvalidList as error:
                     request.error_detail.message = str(error)
                     self.log.warning("list refused", reason=str(error))
                 await call.write(request)
--- a/foxstep/xds/loads.py
+++ b/foxstep/xds/load_reports.py
@@ -11,11 +11,11 @@
 LOAD_METRICS = {"waiting": "waiting", "holding": "holding", "busy": "busy", "cpu_utilization": "busy"}
 
 
-def micros(duration):
+def duration_us(duration):
     return duration.seconds * 1_000_000 + duration.nanos // 1000
 
 
-def size(request):
+def line_count(request):
     """Returns the number of lines of a load report, approximately."""
     return sum(len(stats.upstream_locality_stats) for stats in request.cluster_stats)
 
@@ -64,19 +64,19 @@
 
 
 def read_tries(
-    intake, now, ident, zone, request, op_types, usage_by_quotas, step=1, first=0, lost=0, note=None
+    intake, now, ident, zone, request, op_types, usage_by_quotas, step=1, first=0, lost=0, record_latency=None
 ):
     """Reads a proxy's load report, of whose lines every `step`-th is used, beginning with `first`.
 
     `usage_by_quotas`: the proxy reports the ops it receives as quota usage, so they are not read here.
     `lost`: the number of its earlier reports that were dropped unread.
-    `note(op type, server, latency, acked)` is called for each line that has a latency.
+    `record_latency(op type, server, latency, acked)` is called for each line that has a latency.
     """
     lines, usage, max_window, offset, loaded = [], [], 0, 0, intake.servers_with_load
     for stats in request.cluster_stats:
         op_type, window, localities = (
             stats.cluster_name,
-            micros(stats.load_report_interval),
+            duration_us(stats.load_report_interval),
             stats.upstream_locality_stats,
         )
         count, begin = len(localities), (first - offset) % step
@@ -111,8 +111,8 @@
             elif latency == -1:
                 latency = None
             lines.append((server, tries, aborted, latency, load, step))
-            if note and latency and tries > aborted:
-                note(op_type, server, latency, tries - aborted)
+            if record_latency and latency and tries > aborted:
+                record_latency(op_type, server, latency, tries - aborted)
         if not usage_by_quotas and ops:
             usage.append((op_type, ops, min(total_aborted, ops)))
     if lines:
@@ -129,7 +129,7 @@
         if op_type not in op_types:
             intake.refuse("op type")
         elif usage.HasField("time_elapsed"):
-            window = micros(usage.time_elapsed)
+            window = duration_us(usage.time_elapsed)
             if intake.is_valid((), window):
                 max_window = max(max_window, window)
                 lines.append((op_type, usage.num_requests_allowed + usage.num_requests_denied, 0))
--- a/foxstep/xds/resources.py
+++ b/foxstep/xds/resources.py
@@ -19,12 +19,12 @@
 LISTENER_TYPE = "type.googleapis.com/envoy.config.listener.v3.Listener"
 ROUTES_TYPE = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 CLUSTER_TYPE = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
-LINES = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+ASSIGNMENT_TYPE = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-LINE = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
+ENDPOINT_TYPE = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
 COLLECTION_PREFIX = "xdstp:///envoy.config.endpoint.v3.LbEndpoint/"
 
-EVERY = "every-op-type"  # the single assignment of a proxy whose op types all share a table
+SHARED_ASSIGNMENT = "every-op-type"  # the single assignment of a proxy whose op types all share a table
 MILLION = 1_000_000
 # Conditions of `retry_on`: proof that the first try never ran; any failure. gRPC and Envoy each ignore the
 # conditions that they don't know.
@@ -118,7 +118,7 @@
     return message
 
 
-def collection(site_name, table):
+def collection_name(site_name, table):
     """Returns the name that a client subscribes to for all lines of a table (a LEDS glob collection)."""
     return f"{COLLECTION_PREFIX}{site_name}/{table}/*"
 
@@ -156,7 +156,7 @@
     del assignment.endpoints[:]
     locality = assignment.endpoints.add()
     locality.leds_cluster_locality_config.leds_config.CopyFrom(ads())
-    locality.leds_cluster_locality_config.leds_collection_name = collection(site_name, EVERY)
+    locality.leds_cluster_locality_config.leds_collection_name = collection_name(site_name, SHARED_ASSIGNMENT)
     locality.load_balancing_weight.value = 1
     return assignment
 
--- a/foxstep/xds/session.py
+++ b/foxstep/xds/session.py
@@ -1,6 +1,6 @@
 """One aggregated discovery stream, state of the world: subscriptions, versions, nonces, ACKs. No I/O.
 
-`ask(request)` handles a client's request, `due(...)` schedules types for a new response, and
+`handle_request(request)` handles a client's request, `schedule(...)` schedules types for a new response, and
 `next_response()` returns the responses one by one until None.
 Source: the xDS transport protocol, state-of-the-world (SotW) and aggregated variants.
 """
@@ -12,7 +12,7 @@
 from foxstep.xds import resources
 
 # Make before break: clusters and their endpoints are sent before the routes that refer to them.
-ORDER = [resources.LISTENER_TYPE, resources.CLUSTER_TYPE, resources.LINES, resources.ROUTES_TYPE]
+ORDER = [resources.LISTENER_TYPE, resources.CLUSTER_TYPE, resources.ASSIGNMENT_TYPE, resources.ROUTES_TYPE]
 MAX_RESOURCE_NAMES = 1024  # that one client may subscribe to, by type
 MAX_UNANSWERED_RESPONSES = 64  # remembered until they are answered, by type
 
@@ -44,7 +44,7 @@
     def __init__(self):
         self.nonce = ""
         self.unanswered = deque(maxlen=MAX_UNANSWERED_RESPONSES)  # (nonce, marks, version), oldest first
-        self.due = False
+        self.is_due = False
         self.marks = []
         self.stamp = None  # (time ordered, lines) for the nonce of the next response
 
@@ -53,7 +53,7 @@
 
         Lines of stamps (time ordered, lines) that are sent together are added up under the first one's time.
         """
-        self.due = True
+        self.is_due = True
         self.marks = [*self.marks, *marks][-MAX_UNANSWERED_RESPONSES:]
         self.stamp = self.stamp and stamp and (self.stamp[0], self.stamp[1] + stamp[1]) or stamp
 
@@ -96,7 +96,7 @@
         self.version_of = version_of
         self.subscriptions = {}
 
-    def ask(self, request):
+    def handle_request(self, request):
         """Handles a DiscoveryRequest.
 
         Returns ("accepted", marks, times at which the accepted responses were ordered, version) for an ACK,
@@ -117,10 +117,10 @@
             new = [name for name in names if name not in subscription.names]
             subscription.names = names
             if new or not request.response_nonce:
-                subscription.due = True
+                subscription.is_due = True
                 subscription.sent = None
         elif not request.response_nonce:
-            subscription.due = True
+            subscription.is_due = True
             subscription.sent = None
         return answer
 
@@ -135,7 +135,7 @@
             return "refused", request.error_detail.message, version
         return "accepted", marks, ordered, version
 
-    def due(self, type_urls, marks=(), stamp=None):
+    def schedule(self, type_urls, marks=(), stamp=None):
         """Schedules new responses for these types.
 
         The marks are answered with the response of the first type, and the stamp (time ordered, lines) goes
@@ -148,9 +148,9 @@
     def next_response(self):
         for type_url in ORDER:
             subscription = self.subscriptions.get(type_url)
-            if subscription is None or not subscription.due or not subscription.names:
+            if subscription is None or not subscription.is_due or not subscription.names:
                 continue
-            subscription.due = False
+            subscription.is_due = False
             rendered = self.render(type_url, subscription.names)
             if not rendered:
                 continue  # nothing to send yet: the marks and the stamp go into the first response
@@ -164,7 +164,7 @@
                 continue
             changed = rendered
             if (
-                type_url in (resources.LINES, resources.ROUTES_TYPE)
+                type_url in (resources.ASSIGNMENT_TYPE, resources.ROUTES_TYPE)
                 and subscription.sent
                 and not subscription.rejected
             ):
