--- a/foxstep/live/__init__.py
+++ b/foxstep/live/__init__.py
@@ -1,1 +1,4 @@
-"""The running controller: one decision module, its clock, its channel, and what proxies hold. No wire."""
+"""The running controller: the host of a decision module, its send channel and the state of its proxies.
+
+Nothing in this package knows a wire protocol.
+"""
--- a/foxstep/live/book.py
+++ b/foxstep/live/book.py
@@ -1,16 +1,17 @@
-"""What was ordered, table by table, and what each proxy holds of it. No I/O and no clock.
+"""Desired state: the tables as ordered, and what each proxy holds of them. No I/O and no clock.
 
-The module speaks of tables, bindings, withdrawals and levels (`foxstep/interface.py`); a proxy has one
-`Holding`, changed only by `Message`s as they leave the channel. A message's lines are counted as the
-operators count them: a changed line, a level, a withdrawal and a mark are a line each, a whole table one
-more.
+The decision module orders tables, bindings, withdrawals and levels (`foxstep/interface.py`). Each proxy has
+one `Holding`, which only a `Message` that leaves the channel changes. The cost of a message is counted in
+lines: a changed table line (one entry of a proxy's weight table), a level (the admission level of an op
+type), a withdrawal, an emptied table and a mark count one line each, the head of a message counts `head`
+lines, and a message that replaces all that its proxy holds counts one line more.
 """
 
-EVERYONE = None  # the table of the levels that hold for all joined proxies
+EVERYONE = None  # key of the table whose levels apply to all joined proxies
 
 
 class Message:
-    """What one proxy is to be written at one time. Later orders fold into it while it waits."""
+    """What is to be written to one proxy in one go. While it waits, later orders are merged into it."""
 
     __slots__ = (
         "proxy",
@@ -29,18 +30,18 @@
 
     def __init__(self, proxy, ordered_at, head):
         self.proxy, self.ordered_at, self.first_at, self.head = proxy, ordered_at, ordered_at, head
-        self.tables = {}  # op type's place -> table, where bindings change
-        self.lines = {}  # (table, server) -> weight; 0 removes it
-        self.levels = {}  # (table, place) -> (quota, tries)
-        self.shut = {}  # server -> withdrawn or back
-        self.emptied = {}  # tables wiped before these lines, as a set in order
+        self.tables = {}  # op type index -> table, where bindings change
+        self.lines = {}  # (table, server) -> weight; 0 removes the line
+        self.levels = {}  # (table, op type index) -> (quota, tries)
+        self.shut = {}  # server -> True: withdrawn, False: back
+        self.emptied = {}  # tables to empty before the lines are applied; an ordered set
         self.marks = []  # (number, ordered at)
-        self.whole = False  # holds all that its proxy is to hold
-        self.meant = None  # its proxy's ledger.Table, once it is applied
+        self.whole = False  # replaces all that the proxy holds
+        self.meant = None  # the proxy's ledger.Table once this message is applied
 
     @property
     def cost(self):
-        """Lines that the channel counts for it."""
+        """Lines that the channel counts for this message."""
         return (
             self.head
             + self.whole
@@ -52,7 +53,7 @@
         )
 
     def fold(self, later):
-        """Takes a later message of the same proxy in: what is said twice is said once, the newest way."""
+        """Merges a later message for the same proxy; for each key the later value is kept."""
         if later.whole:
             self.tables, self.lines, self.levels = {}, {}, {}
             self.shut, self.emptied, self.whole = {}, {}, True
@@ -64,18 +65,18 @@
         self.lines.update(later.lines)
         self.levels.update(later.levels)
         self.shut.update(later.shut)
-        # An older mark is answered with the newest: it asks for all that was sent before it.
+        # The newest mark is enough: its answer confirms everything that was sent before it.
         self.marks = (self.marks + later.marks)[-1:]
         self.ordered_at, self.meant = later.ordered_at, later.meant or self.meant
 
 
 class Holding:
-    """What a proxy holds as written: tables by op type, their lines and levels, servers shut out of all."""
+    """What was written to a proxy: its table for each op type, their lines and levels, withdrawn servers."""
 
-    def __init__(self, places):
-        self.tables = [None] * places
+    def __init__(self, op_type_count):
+        self.tables = [None] * op_type_count
         self.lines, self.levels, self.shut = {}, {}, {}
-        self.meant = None  # the ledger.Table that its lines are
+        self.meant = None  # the ledger.Table that the lines belong to
 
     def apply(self, message):
         if message.whole:
@@ -83,88 +84,92 @@
         for table in message.emptied:
             self.lines.pop(table, None)
             self.levels.pop(table, None)
-        for place, table in message.tables.items():
-            self.tables[place] = table
+        for index, table in message.tables.items():
+            self.tables[index] = table
         for (table, server), weight in message.lines.items():
             if weight:
                 self.lines.setdefault(table, {})[server] = weight
             else:
                 self.lines.get(table, {}).pop(server, None)
-        for (table, place), level in message.levels.items():
-            self.levels.setdefault(table, {})[place] = level
-        for server, out in message.shut.items():
-            if out:
+        for (table, index), level in message.levels.items():
+            self.levels.setdefault(table, {})[index] = level
+        for server, withdrawn in message.shut.items():
+            if withdrawn:
                 self.shut[server] = None
             else:
                 self.shut.pop(server, None)
         self.meant = message.meant or self.meant
 
-    def lines_of(self, place):
-        """Server -> weight that may be picked for an op type; None where it is on no table of ours."""
-        table = self.tables[place]
+    def lines_of(self, index):
+        """Server -> weight that may be picked for an op type; None if no table is bound to the op type."""
+        table = self.tables[index]
         if table is None:
             return None
         return {s: w for s, w in self.lines.get(table, {}).items() if s not in self.shut}
 
-    def level_of(self, place):
-        """(quota, tries) for an op type, the lower quota of its table and of everyone; None: never set."""
-        own = self.levels.get(self.tables[place], {}).get(place)
-        common = self.levels.get(EVERYONE, {}).get(place)
+    def level_of(self, index):
+        """(quota, tries) for an op type, with the lower quota of its table and `EVERYONE`; None if unset."""
+        own = self.levels.get(self.tables[index], {}).get(index)
+        common = self.levels.get(EVERYONE, {}).get(index)
         if own is None or common is None:
             return own or common
         return min(own[0], common[0]), own[1]
 
 
 class Book:
-    """All tables as ordered, who is on which, and the messages that one batch of orders comes to."""
+    """All tables as ordered, the proxies bound to them, and the messages of the current batch of orders."""
 
-    def __init__(self, places, head):
-        self.places, self.head = places, head
-        self.lines, self.levels, self.shut = {}, {}, {}
+    def __init__(self, op_type_count, head):
+        self.op_type_count, self.head = op_type_count, head
+        self.lines, self.levels, self.withdrawn = {}, {}, {}
         self.holdings = {}  # proxy -> Holding, as written
-        self.bound = {}  # proxy -> table by place, as ordered
-        self.batch = {}  # proxy -> Message of the batch under way
-        self.out = {}  # proxy -> servers that it is ordered to hold withdrawn
-        self.untold = {}  # proxies that were ordered nothing since they joined, as a set in order
-        self.on = {}  # table -> proxies on it, as a set in order
+        self.bindings = {}  # proxy -> table for each op type index, as ordered
+        self.batch = {}  # proxy -> Message of the current batch
+        self.withdrawn_by_proxy = {}  # proxy -> servers that it was told are withdrawn
+        self.unaddressed = {}  # proxies without any order since they joined; an ordered set
+        self.bound_proxies = {}  # table -> proxies bound to it, as an ordered set
 
     def join(self, proxy):
-        """A stream is up: it holds none of our tables, whatever it may still hold of others."""
-        self.holdings[proxy] = Holding(self.places)
+        """A stream is up. The proxy holds none of our tables, whatever it may hold of other controllers."""
+        self.holdings[proxy] = Holding(self.op_type_count)
         self.unbind(proxy)
-        self.bound[proxy], self.out[proxy], self.untold[proxy] = [None] * self.places, {}, None
+        self.bindings[proxy] = [None] * self.op_type_count
+        self.withdrawn_by_proxy[proxy] = {}
+        self.unaddressed[proxy] = None
         self.batch.pop(proxy, None)
 
     def enroll(self, proxy):
-        """A stream of one that is advised: no table of the module's is bound to it."""
-        self.holdings[proxy] = Holding(self.places)
+        """A stream of an advised balancer is up; no table of the decision module is bound to it."""
+        self.holdings[proxy] = Holding(self.op_type_count)
 
     def unbind(self, proxy):
-        for table in dict.fromkeys(self.bound.get(proxy, ())):
+        for table in dict.fromkeys(self.bindings.get(proxy, ())):
             if table is not None:
-                self.on[table].pop(proxy, None)
-                if not self.on[table]:
-                    del self.on[table]
+                self.bound_proxies[table].pop(proxy, None)
+                if not self.bound_proxies[table]:
+                    del self.bound_proxies[table]
 
     def leave(self, proxy):
         self.unbind(proxy)
-        for known in (self.holdings, self.bound, self.batch, self.out, self.untold):
-            known.pop(proxy, None)
+        for by_proxy in (self.holdings, self.bindings, self.batch, self.withdrawn_by_proxy, self.unaddressed):
+            by_proxy.pop(proxy, None)
 
     def message(self, proxy, now):
+        """The proxy's message of the current batch."""
         if proxy not in self.batch:
             self.batch[proxy] = Message(proxy, now, self.head)
         message = self.batch[proxy]
-        if proxy in self.untold:  # levels for everyone ride along with the first that a joiner is told
-            del self.untold[proxy]
+        if proxy in self.unaddressed:  # its first message also carries the levels that apply to all proxies
+            del self.unaddressed[proxy]
             message.levels.update(((EVERYONE, k), v) for k, v in self.levels.get(EVERYONE, {}).items())
         return message
 
-    def users(self, table):
-        return list(self.on.get(table, ()))
+    def proxies_of(self, table):
+        return list(self.bound_proxies.get(table, ()))
 
-    def places_of(self, mask):
-        return [k for k in range(self.places) if not mask or mask >> k & 1]
+    def op_type_indexes(self, mask):
+        """Indexes of the op types in a bit mask; 0 stands for all of them."""
+        return [k for k in range(self.op_type_count) if not mask or mask >> k & 1]
 
     def weigh(self, now, table, server, weight):
         lines = self.lines.setdefault(table, {})
@@ -172,59 +177,59 @@
             lines[server] = weight
         else:
             lines.pop(server, None)
-        for proxy in self.users(table):
+        for proxy in self.proxies_of(table):
             message = self.message(proxy, now)
             message.lines[table, server] = weight
-            if weight and server in self.shut and server not in self.out[proxy]:
-                message.shut[server] = self.out[proxy][server] = True
+            if weight and server in self.withdrawn and server not in self.withdrawn_by_proxy[proxy]:
+                message.shut[server] = self.withdrawn_by_proxy[proxy][server] = True
 
     def empty(self, now, table):
         self.lines.pop(table, None)
         self.levels.pop(table, None)
-        for proxy in self.users(table):
+        for proxy in self.proxies_of(table):
             emptied = Message(proxy, now, self.head)
             emptied.emptied[table] = None
             self.message(proxy, now).fold(emptied)
 
     def admit(self, now, table, mask, quota, tries):
-        places = self.places_of(mask)
-        for place in places:
-            self.levels.setdefault(table, {})[place] = (quota, tries)
-        users = list(self.bound) if table is EVERYONE else self.users(table)
-        for proxy in users:
-            for place in places:
-                if table is EVERYONE or self.bound[proxy][place] == table:
-                    self.message(proxy, now).levels[table, place] = (quota, tries)
-
-    def withdraw(self, now, server, out):
-        if out:
-            self.shut[server] = None
+        indexes = self.op_type_indexes(mask)
+        for index in indexes:
+            self.levels.setdefault(table, {})[index] = (quota, tries)
+        proxies = list(self.bindings) if table is EVERYONE else self.proxies_of(table)
+        for proxy in proxies:
+            for index in indexes:
+                if table is EVERYONE or self.bindings[proxy][index] == table:
+                    self.message(proxy, now).levels[table, index] = (quota, tries)
+
+    def withdraw(self, now, server, withdrawn):
+        if withdrawn:
+            self.withdrawn[server] = None
         else:
-            self.shut.pop(server, None)
-        for proxy, tables in self.bound.items():
-            holds = any(server in self.lines.get(table, {}) for table in tables if table is not None)
-            if out and holds:
-                self.message(proxy, now).shut[server] = self.out[proxy][server] = True
-            elif not out and self.out[proxy].pop(server, False):
+            self.withdrawn.pop(server, None)
+        for proxy, tables in self.bindings.items():
+            has_server = any(server in self.lines.get(table, {}) for table in tables if table is not None)
+            if withdrawn and has_server:
+                self.message(proxy, now).shut[server] = self.withdrawn_by_proxy[proxy][server] = True
+            elif not withdrawn and self.withdrawn_by_proxy[proxy].pop(server, False):
                 self.message(proxy, now).shut[server] = False
 
     def bind(self, now, proxy, table, mask):
-        """Puts a joined proxy on a table: all that it is then to hold goes out anew."""
-        if proxy not in self.bound:
+        """Binds a joined proxy to a table; everything that it is then to hold is sent to it again."""
+        if proxy not in self.bindings:
             return
         self.unbind(proxy)
-        for place in self.places_of(mask):
-            self.bound[proxy][place] = table
-        for held in dict.fromkeys(self.bound[proxy]):
-            if held is not None:
-                self.on.setdefault(held, {})[proxy] = None
+        for index in self.op_type_indexes(mask):
+            self.bindings[proxy][index] = table
+        for bound_table in dict.fromkeys(self.bindings[proxy]):
+            if bound_table is not None:
+                self.bound_proxies.setdefault(bound_table, {})[proxy] = None
         marks = self.batch[proxy].marks if proxy in self.batch else []
         self.batch[proxy] = self.whole(proxy, now)
         self.batch[proxy].marks = marks
 
     def whole(self, proxy, now):
         """A message with everything that a proxy is to hold as ordered."""
-        message, tables = Message(proxy, now, self.head), self.bound[proxy]
+        message, tables = Message(proxy, now, self.head), self.bindings[proxy]
         message.whole = True
         message.tables = dict(enumerate(tables))
         for table in dict.fromkeys(t for t in tables if t is not None):
@@ -232,20 +237,20 @@
             message.levels.update(
                 ((table, k), level) for k, level in self.levels.get(table, {}).items() if tables[k] == table
             )
-            message.shut.update((s, True) for s in self.shut if s in self.lines.get(table, {}))
-        self.out[proxy] = dict(message.shut)
-        self.untold.pop(proxy, None)
+            message.shut.update((s, True) for s in self.withdrawn if s in self.lines.get(table, {}))
+        self.withdrawn_by_proxy[proxy] = dict(message.shut)
+        self.unaddressed.pop(proxy, None)
         message.levels.update(((EVERYONE, k), level) for k, level in self.levels.get(EVERYONE, {}).items())
         return message
 
-    def mark(self, now, number, everyone):
-        if everyone:
-            for proxy in self.bound:
+    def mark(self, now, number, all_proxies):
+        if all_proxies:
+            for proxy in self.bindings:
                 self.message(proxy, now)
         for message in self.batch.values():
             message.marks.append((number, now))
 
     def close_batch(self):
-        """The messages of the orders since the last call, in the order of their first lines."""
+        """The messages for all orders since the last call, in the order of the first order for each proxy."""
         batch, self.batch = list(self.batch.values()), {}
         return batch
--- a/foxstep/live/clocks.py
+++ b/foxstep/live/clocks.py
@@ -4,8 +4,10 @@
 
 
 def clock():
+    """Monotonic time."""
     return time.monotonic_ns() // 1000
 
 
 def wall():
+    """Wall-clock time since the Unix epoch."""
     return time.time_ns() // 1000
--- a/foxstep/live/reader.py
+++ b/foxstep/live/reader.py
@@ -1,41 +1,44 @@
-"""Reads reports that wait, a few at a time between other things: orders never wait for them."""
+"""Reads queued reports in short slices between other work, so that orders never wait for reports."""
 
 import time
 
 import anyio
 
-SLICE = 0.002  # seconds of reading before whatever else is due gets its turn
-REST = 0.0005  # and the least that it gets, when more waits
+SLICE_S = 0.002  # CPU seconds of reading before other work gets its turn
+MIN_PAUSE_S = 0.0005  # pause between two slices while more reports wait
 
 
 class Reader:
-    """`intake` tells what is to be read next. `read`: kind -> read(now, proxy, report, step, first, lost), by
-    which a front turns a report into calls on the intake."""
+    """`intake` says which report is read next.
+
+    `read`: kind -> read(now, proxy, report, step, first, lost), by which a front turns a report into calls on
+    the intake.
+    """
 
     def __init__(self, intake):
-        self.intake, self.read, self.stirred = intake, {}, anyio.Event()
+        self.intake, self.read, self.report_queued = intake, {}, anyio.Event()
 
     def offer(self, now, proxy, zone, kind, report, lines):
         self.intake.offer(now, proxy, zone, kind, report, lines)
-        self.stirred.set()
+        self.report_queued.set()
 
-    def read_some(self):
-        """Reads for one slice; answers whether more waits."""
-        # CPU time of this thread: where the machine is busy with other things, reading costs no more for it.
+    def read_slice(self):
+        """Reads for one slice; returns whether more reports wait."""
+        # CPU time of this thread, so that reading does not appear more expensive on a busy machine.
         began = before = time.thread_time()
         while (found := self.intake.next_report()) is not None:
-            came, proxy, kind, report, lines, step, first, lost = found
-            self.read[kind](came, proxy, report, step, first, lost)
+            received_at, proxy, kind, report, lines, step, first, lost = found
+            self.read[kind](received_at, proxy, report, step, first, lost)
             now = time.thread_time()
             self.intake.pace.read(lines // step, (now - before) * 1e6)
-            if now - began > SLICE:
+            if now - began > SLICE_S:
                 return True
             before = now
         return False
 
     async def run(self):
         while True:
-            while self.read_some():
-                await anyio.sleep(REST)
-            await self.stirred.wait()
-            self.stirred = anyio.Event()
+            while self.read_slice():
+                await anyio.sleep(MIN_PAUSE_S)
+            await self.report_queued.wait()
+            self.report_queued = anyio.Event()
--- a/foxstep/live/repair.py
+++ b/foxstep/live/repair.py
@@ -1,21 +1,24 @@
-"""When a proxy that refused its table is to be given a whole one. No I/O, no clock.
+"""Schedules the full table for a proxy that refused an update. No I/O, no clock.
 
-A refusal leaves the old table standing, so what the module believes of that proxy is no longer so. It is told
-that the proxy joined anew and binds it again. Guards against a table that can never be taken: each refusal in
-a row doubles the wait. Harm: a proxy that could take the next table at once waits for it.
+A proxy that refuses keeps its old table, so the decision module's view of it is wrong. The module is told
+that the proxy joined anew and binds it again. Each refusal in a row doubles the delay, which limits the cost
+of a table that the proxy can never accept. The drawback: a proxy that could accept the next table at once
+waits too.
 """
 
 
 class Repairs:
-    def __init__(self, wait, most_doublings=6):
-        self.wait, self.most_doublings = wait, most_doublings
+    """`delay`: microseconds before the first repair."""
+
+    def __init__(self, delay, max_doublings=6):
+        self.delay, self.max_doublings = delay, max_doublings
         self.refusals, self.due = {}, {}
 
     def refused(self, now, proxy):
-        """Notes a refusal; answers when the repair is due."""
-        row = self.refusals[proxy] = self.refusals.get(proxy, 0) + 1
+        """Records a refusal; returns when the repair is due."""
+        in_a_row = self.refusals[proxy] = self.refusals.get(proxy, 0) + 1
         if proxy not in self.due:
-            self.due[proxy] = now + self.wait * 2 ** min(row - 1, self.most_doublings)
+            self.due[proxy] = now + self.delay * 2 ** min(in_a_row - 1, self.max_doublings)
         return self.due[proxy]
 
     def accepted(self, proxy):
@@ -30,7 +33,7 @@
         return min(self.due.values(), default=None)
 
     def next_due(self, now):
-        """A proxy whose repair is due, or None."""
+        """Removes and returns a proxy whose repair is due, or None."""
         for proxy, at in self.due.items():
             if at <= now:
                 del self.due[proxy]
--- a/foxstep/store/__init__.py
+++ b/foxstep/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a controller: history of tables, holders, rollbacks, the last list, the count of starts."""
+"""State kept across restarts: table history, holders, rollbacks, the last server list and the last epoch."""
--- a/foxstep/store/store.py
+++ b/foxstep/store/store.py
@@ -1,7 +1,7 @@
-"""The store: one SQLite file, written by a thread of its own, so that no order waits for a disk.
+"""The store: one SQLite file, written by its own thread, so that no order waits for a disk.
 
-Each row bears a sum of its own beside SQLite's journal: a flipped bit is found when it is read. A file that
-SQLite itself cannot read is put aside under a name that says so, and the former copy serves.
+Each row has its own checksum beside SQLite's journal, so that a flipped bit is found when the row is read. A
+file that SQLite itself cannot read is moved aside, and the last backup is used instead.
 """
 
 import os
@@ -13,9 +13,9 @@
 import structlog
 from immutables import Map
 
-from foxstep.store import form
+from foxstep.store import encoding
 from foxstep.tables.ledger import changed_fleet
-from foxstep.tables.version import CONTROLLERS, Version, epoch_after
+from foxstep.tables.version import MAX_CONTROLLERS, Version, epoch_after
 
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS starts (one INTEGER PRIMARY KEY CHECK (one = 1), epoch INTEGER);
@@ -26,87 +26,91 @@
 CREATE TABLE IF NOT EXISTS facts (one INTEGER PRIMARY KEY CHECK (one = 1), body BLOB, sum BLOB);
 CREATE TABLE IF NOT EXISTS servers (one INTEGER PRIMARY KEY CHECK (one = 1), body BLOB, sum BLOB);
 """
-AHEAD = 1024  # writes that may wait; beyond that the history goes on with a whole entry
-WHOLE_EVERY = 64  # entries between two whole ones
-AT_ONCE = 256  # writes in one transaction
+MAX_QUEUED_WRITES = 1024  # further writes are lost, and the history goes on with a full entry
+FULL_ENTRY_INTERVAL = 64  # entries from one full entry, which holds the whole fleet, to the next
+MAX_BATCH_WRITES = 256  # writes in one transaction
 
 
 def first_epoch(wall):
-    """Where nothing was kept: the wall clock's seconds."""
-    return wall() // 1_000_000 * CONTROLLERS
+    """The epoch to start above if nothing was kept: the wall clock in seconds, times the controllers."""
+    return wall() // 1_000_000 * MAX_CONTROLLERS
 
 
 class Store:
-    """`keep`: entries of history. What was sound is read at once, into `entries`, `rollbacks`, `holders`,
-    `lines`; `unsound` tells in words what was not."""
+    """What is kept is read at once, into `entries`, `rollbacks`, `holders`, `lines` and `facts`.
 
-    def __init__(self, directory, wall, keep=1000, pages=0, me=0):
+    `keep`: entries of history. `max_pages`: maximum size of the file in SQLite pages; 0 for no limit.
+    `damage` describes what was found damaged, one text for each row or file.
+    """
+
+    def __init__(self, directory, wall, keep=1000, max_pages=0, me=0):
         os.makedirs(directory, exist_ok=True)
         self.path, self.keep, self.wall, self.me = os.path.join(directory, "tables.db"), keep, wall, me
-        self.former, self.pages = self.path + ".former", pages
+        self.backup_path, self.max_pages = self.path + ".former", max_pages
         self.log = structlog.get_logger("foxstep.store")
-        self.unsound, self.failing, self.written, self.lost = [], "", 0, 0
-        self.base = self.open()
+        self.damage, self.failing, self.written, self.lost = [], "", 0, 0
+        self.connection = self.open()
         self.epoch = self.next_epoch()
         self.read()
-        # The next entry does not build on the last one kept: the caller lost some, or a write failed.
-        self.gap, self.broken, self.since_whole = False, False, WHOLE_EVERY
-        self.writes = queue.Queue(AHEAD)
-        self.thread = threading.Thread(target=self.write_all, name="store", daemon=True)
+        # The next entry does not build on the last stored one if the queue was full (`entry_lost`) or a write
+        # failed (`write_failed`).
+        self.entry_lost, self.write_failed, self.entries_since_full = False, False, FULL_ENTRY_INTERVAL
+        self.writes = queue.Queue(MAX_QUEUED_WRITES)
+        self.thread = threading.Thread(target=self.run_writer, name="store", daemon=True)
         self.thread.start()
 
     # -- opening
 
     def open(self):
-        """A connection to a file that SQLite finds in order: this one, the former copy, or a new one."""
-        for path in (self.path, self.former):
-            if path == self.former and os.path.exists(path):
-                self.take_former()
+        """A connection to the first usable file: the current one, the backup, or a new one."""
+        for path in (self.path, self.backup_path):
+            if path == self.backup_path and os.path.exists(path):
+                self.restore_backup()
             try:
                 return self.connect()
             except sqlite3.DatabaseError as error:
-                self.put_aside(str(error))
+                self.move_aside(str(error))
         return self.connect()
 
     def connect(self):
-        base = sqlite3.connect(self.path, check_same_thread=False, isolation_level=None, timeout=5)
+        connection = sqlite3.connect(self.path, check_same_thread=False, isolation_level=None, timeout=5)
         try:
-            base.execute("PRAGMA journal_mode=WAL")
-            base.execute("PRAGMA synchronous=FULL")
-            if self.pages:
-                base.execute(f"PRAGMA max_page_count={self.pages}")
-            found = base.execute("PRAGMA quick_check").fetchone()[0]
+            connection.execute("PRAGMA journal_mode=WAL")
+            connection.execute("PRAGMA synchronous=FULL")
+            if self.max_pages:
+                connection.execute(f"PRAGMA max_page_count={self.max_pages}")
+            found = connection.execute("PRAGMA quick_check").fetchone()[0]
             if found != "ok":
                 raise sqlite3.DatabaseError(found)
-            base.executescript(SCHEMA)
+            connection.executescript(SCHEMA)
         except sqlite3.DatabaseError:
-            base.close()
+            connection.close()
             raise
-        return base
+        return connection
 
-    def put_aside(self, why):
+    def move_aside(self, reason):
         aside = next(name for k in range(10_000) if not os.path.exists(name := f"{self.path}.unsound-{k}"))
-        self.tell(f"{self.path}: {why}; put aside as {os.path.basename(aside)}")
-        for end in ("", "-wal", "-shm"):
-            if os.path.exists(self.path + end):
-                os.replace(self.path + end, aside + end)
+        self.report_damage(f"{self.path}: {reason}; moved to {os.path.basename(aside)}")
+        for suffix in ("", "-wal", "-shm"):
+            if os.path.exists(self.path + suffix):
+                os.replace(self.path + suffix, aside + suffix)
 
-    def take_former(self):
-        with open(self.former, "rb") as former, open(self.path, "wb") as file:
-            file.write(former.read())
+    def restore_backup(self):
+        with open(self.backup_path, "rb") as backup, open(self.path, "wb") as file:
+            file.write(backup.read())
 
-    def tell(self, text):
-        self.unsound.append(text)
+    def report_damage(self, text):
+        self.damage.append(text)
         self.log.error("unsound", what=text)
 
     def next_epoch(self):
-        """A number that grows with every start, from here or, where nothing was kept, from the wall clock."""
-        row = self.base.execute("SELECT epoch FROM starts").fetchone()
-        newest = self.base.execute("SELECT max(epoch) FROM entries").fetchone()[0] or 0
+        """An epoch above all earlier ones kept here or, if nothing was kept, above the wall clock's."""
+        row = self.connection.execute("SELECT epoch FROM starts").fetchone()
+        newest = self.connection.execute("SELECT max(epoch) FROM entries").fetchone()[0] or 0
         epoch = epoch_after(max(row[0], newest) if row else max(first_epoch(self.wall), newest), self.me)
         self.attempt(
-            "the count of starts",
-            lambda: self.base.execute(
+            "epoch update",
+            lambda: self.connection.execute(
                 "INSERT INTO starts VALUES (1, ?) ON CONFLICT (one) DO UPDATE SET epoch = ?", (epoch, epoch)
             ),
         )
@@ -117,60 +121,61 @@
     def read(self):
         self.entries, self.rollbacks, self.holders, self.lines = [], [], {}, []
         self.facts = None
-        fleet, chain = None, False
-        for epoch, count, at, cause, whole, body, stored in self.base.execute(
+        fleet, chain_intact = None, False
+        for epoch, count, at, cause, whole, body, checksum in self.connection.execute(
             "SELECT epoch, count, at, cause, whole, body, sum FROM entries ORDER BY epoch, count"
         ):
-            entry = self.sound(
+            entry = self.decode_row(
                 f"entry {epoch}.{count}",
-                stored,
+                checksum,
                 (epoch, count, at, cause, whole),
                 body,
-                partial(form.read_entry, epoch, count, at, cause),
+                partial(encoding.decode_entry, epoch, count, at, cause),
             )
-            chain = entry is not None and (chain or whole)
-            if not chain:
-                continue  # what builds on an unsound entry waits for the next whole one
+            chain_intact = entry is not None and (chain_intact or whole)
+            if not chain_intact:
+                continue  # entries after a damaged one are skipped up to the next full entry
             fleet = entry.fleet = changed_fleet(Map() if whole else fleet, entry.changed)
             self.entries.append(entry)
-        heirs = {}
-        rows = self.base.execute("SELECT number, body, sum FROM rollbacks ORDER BY number")
-        for number, body, stored in rows:
-            found = self.sound(f"rollback {number}", stored, (number,), body, form.read_rollback)
+        successors = {}
+        rows = self.connection.execute("SELECT number, body, sum FROM rollbacks ORDER BY number")
+        for number, body, checksum in rows:
+            found = self.decode_row(f"rollback {number}", checksum, (number,), body, encoding.decode_rollback)
             if found:
                 self.rollbacks.append(found[0])
-                heirs[found[0].number] = found[1]
+                successors[found[0].number] = found[1]
         by_number = {r.number: r for r in self.rollbacks}
         for rollback in self.rollbacks:
-            rollback.heir = by_number.get(heirs[rollback.number])
-        for proxy, version, stored in self.base.execute("SELECT proxy, version, sum FROM holders"):
-            held = self.sound(
+            rollback.successor = by_number.get(successors[rollback.number])
+        for proxy, version, checksum in self.connection.execute("SELECT proxy, version, sum FROM holders"):
+            held = self.decode_row(
                 f"holder {proxy}",
-                stored,
+                checksum,
                 (proxy,),
                 version.encode(),
-                lambda body: Version.read(body.decode()),
+                lambda body: Version.parse(body.decode()),
             )
             if held:
                 self.holders[proxy] = held
-        for body, stored in self.base.execute("SELECT body, sum FROM servers"):
-            self.lines = self.sound("the list", stored, (1,), body, form.read_lines) or []
-        for body, stored in self.base.execute("SELECT body, sum FROM facts"):
-            self.facts = self.sound("what was learnt", stored, (1,), body, form.read_facts)
+        for body, checksum in self.connection.execute("SELECT body, sum FROM servers"):
+            self.lines = self.decode_row("server list", checksum, (1,), body, encoding.decode_lines) or []
+        for body, checksum in self.connection.execute("SELECT body, sum FROM facts"):
+            self.facts = self.decode_row("learnt facts", checksum, (1,), body, encoding.decode_facts)
 
-    def sound(self, what, stored, key, body, read):
+    def decode_row(self, what, checksum, key, body, decode):
+        """The decoded body of a row, or None if it is damaged; damage is reported."""
         try:
-            if stored != form.row_sum(*key, body):
-                raise ValueError("its sum does not fit")
-            return read(body)
-        except (ValueError, TypeError, form.msgspec.DecodeError) as error:
-            self.tell(f"{self.path}: {what}: {error}")
+            if checksum != encoding.row_checksum(*key, body):
+                raise ValueError("checksum mismatch")
+            return decode(body)
+        except (ValueError, TypeError, encoding.msgspec.DecodeError) as error:
+            self.report_damage(f"{self.path}: {what}: {error}")
             return None
 
-    # -- writing, from any thread; nothing waits
+    # -- writing, from any thread; nothing blocks
 
     def put(self, kind, *values):
-        """Queues a write. A full queue loses it: the history then goes on with a whole entry."""
+        """Queues a write; returns False if the queue is full and the write is lost."""
         try:
             self.writes.put_nowait((kind, *values))
         except queue.Full:
@@ -179,28 +184,28 @@
         return True
 
     def entry(self, entry):
-        self.gap = not self.put("entry", entry, self.gap)
+        self.entry_lost = not self.put("entry", entry, self.entry_lost)
 
     def rollback(self, rollback):
-        self.put("rollback", rollback.number, form.rollback_body(rollback))
+        self.put("rollback", rollback.number, encoding.encode_rollback(rollback))
 
     def holder(self, proxy, version):
         self.put("holder", proxy, str(version))
 
     def list(self, lines):
-        self.put("list", form.lines_body(lines))
+        self.put("list", encoding.encode_lines(lines))
 
     def keep_facts(self, body):
         self.put("facts", body)
 
-    def flush(self, seconds=5.0):
-        """Waits until what was put before is written; answers whether it is."""
+    def flush(self, timeout_s=5.0):
+        """Waits until earlier writes are done; returns whether they are, and no write has failed since."""
         done = threading.Event()
         try:
-            self.writes.put(("flush", done), timeout=seconds)
+            self.writes.put(("flush", done), timeout=timeout_s)
         except queue.Full:
             return False
-        return done.wait(seconds) and not self.failing
+        return done.wait(timeout_s) and not self.failing
 
     def close(self):
         try:
@@ -211,101 +216,107 @@
 
     # -- writing, on the store's own thread
 
-    def write_all(self):
+    def run_writer(self):
         closing = False
         while not closing:
             batch = [self.writes.get()]
-            while len(batch) < AT_ONCE:
+            while len(batch) < MAX_BATCH_WRITES:
                 try:
                     batch.append(self.writes.get_nowait())
                 except queue.Empty:
                     break
             closing = any(write[0] == "close" for write in batch)
             rows = [write for write in batch if write[0] not in ("flush", "close")]
-            if rows and self.attempt("a write", lambda rows=rows: self.write(rows)):
+            if rows and self.attempt("write", lambda rows=rows: self.write(rows)):
                 self.written += len(rows)
             elif rows:
-                # What was lost with it is in the next whole entry, as far as it still holds.
+                # The next full entry makes up for the lost ones, as far as they still apply.
                 self.lost += len(rows)
-                self.broken = True
+                self.write_failed = True
             for write in batch:
                 if write[0] == "flush":
                     write[1].set()
-            self.attempt("a compaction", self.compact)
-        self.base.close()
+            self.attempt("compaction", self.compact)
+        self.connection.close()
+
+    def attempt(self, what, operation):
+        """Runs an operation; returns whether it succeeded.
 
-    def attempt(self, what, do):
-        """Does it; a full disk or a failing one is told once, until a write succeeds again."""
+        A full or failing disk is logged once, until a write succeeds again.
+        """
         try:
-            do()
+            operation()
         except sqlite3.Error as error:
             if self.failing != str(error):
                 self.failing = str(error)
                 self.log.error("store failing", what=what, error=str(error))
-            if self.base.in_transaction:
-                self.base.execute("ROLLBACK")
+            if self.connection.in_transaction:
+                self.connection.execute("ROLLBACK")
             return False
-        if self.failing and what == "a write":
+        if self.failing and what == "write":
             self.log.warning("store mended", after=self.failing)
             self.failing = ""
         return True
 
     def write(self, batch):
-        newest, since = {}, self.since_whole
-        self.base.execute("BEGIN IMMEDIATE")
+        newest, since_full = {}, self.entries_since_full
+        self.connection.execute("BEGIN IMMEDIATE")
         for kind, *values in batch:
             if kind == "entry":
-                entry, gap = values
-                whole = since >= WHOLE_EVERY or gap or self.broken
-                since = 1 if whole else since + 1
-                since = WHOLE_EVERY if entry.aside else since
-                self.broken = self.broken and not whole
-                body = form.tables_body(entry.fleet if whole else entry.changed)
+                entry, entry_lost = values
+                whole = since_full >= FULL_ENTRY_INTERVAL or entry_lost or self.write_failed
+                since_full = 1 if whole else since_full + 1
+                since_full = FULL_ENTRY_INTERVAL if entry.detached else since_full
+                self.write_failed = self.write_failed and not whole
+                body = encoding.encode_tables(entry.fleet if whole else entry.changed)
                 key = (entry.version.epoch, entry.version.count, entry.at, entry.cause, int(whole))
-                self.base.execute(
+                self.connection.execute(
                     "INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?, ?, ?, ?)",
-                    (*key, body, form.row_sum(*key, body)),
+                    (*key, body, encoding.row_checksum(*key, body)),
                 )
             else:
                 key = 1 if kind in ("list", "facts") else values[0]
-                newest[kind, key] = values  # the newest of a kind and key
+                newest[kind, key] = values  # the last write of a kind and key is enough
         for (kind, key), values in newest.items():
             body = values[-1]
             data = body.encode() if isinstance(body, str) else body
             table = {"rollback": "rollbacks", "holder": "holders", "list": "servers", "facts": "facts"}[kind]
-            self.base.execute(
-                f"INSERT OR REPLACE INTO {table} VALUES (?, ?, ?)", (key, body, form.row_sum(key, data))
+            self.connection.execute(
+                f"INSERT OR REPLACE INTO {table} VALUES (?, ?, ?)",
+                (key, body, encoding.row_checksum(key, data)),
             )
-        self.base.execute("COMMIT")
-        self.since_whole = since
+        self.connection.execute("COMMIT")
+        self.entries_since_full = since_full
 
     def compact(self):
-        """Cuts the history to `keep` entries, back to a whole one, once it is twice as long; then copies the
-        file, whole, as the former one."""
-        if self.base.execute("SELECT count(*) FROM entries").fetchone()[0] <= 2 * self.keep:
+        """Cuts a history of more than twice `keep` entries down to `keep`, then writes a backup.
+
+        The oldest entry that stays is a full one, so slightly more than `keep` may remain.
+        """
+        if self.connection.execute("SELECT count(*) FROM entries").fetchone()[0] <= 2 * self.keep:
             return
-        cut = self.base.execute(
+        oldest_kept = self.connection.execute(
             "SELECT epoch, count FROM entries WHERE whole = 1 AND (epoch, count) <= "
             "(SELECT epoch, count FROM entries ORDER BY epoch DESC, count DESC LIMIT 1 OFFSET ?) "
             "ORDER BY epoch DESC, count DESC LIMIT 1",
             (self.keep - 1,),
         ).fetchone()
-        if cut:
-            self.base.execute("DELETE FROM entries WHERE (epoch, count) < (?, ?)", cut)
-            self.copy()
+        if oldest_kept:
+            self.connection.execute("DELETE FROM entries WHERE (epoch, count) < (?, ?)", oldest_kept)
+            self.write_backup()
 
-    def copy(self):
-        new = self.former + ".new"
-        if os.path.exists(new):
-            os.remove(new)
-        with sqlite3.connect(new) as copied:
-            self.base.backup(copied)
-        copied.close()
-        os.replace(new, self.former)
+    def write_backup(self):
+        new_path = self.backup_path + ".new"
+        if os.path.exists(new_path):
+            os.remove(new_path)
+        with sqlite3.connect(new_path) as backup:
+            self.connection.backup(backup)
+        backup.close()
+        os.replace(new_path, self.backup_path)
 
 
-class Nowhere:
-    """A controller without a folder keeps nothing."""
+class NullStore:
+    """The store of a controller without a directory: it keeps nothing."""
 
     def __init__(self, wall, me=0):
         self.epoch, self.entries, self.rollbacks = epoch_after(first_epoch(wall), me), [], []
@@ -316,5 +327,5 @@
 
     entry = rollback = holder = list = keep_facts = close = ignore
 
-    def flush(self, seconds=0.0):
+    def flush(self, timeout_s=0.0):
         return True
--- a/foxstep/tables/__init__.py
+++ b/foxstep/tables/__init__.py
@@ -1,1 +1,4 @@
-"""Versions of tables: history, who holds what, pins and rollbacks, what was last good. No I/O, no clock."""
+"""Versions of tables: history, what each proxy holds, pins, rollbacks and the last good version.
+
+No I/O, no clock.
+"""
--- a/foxstep/tables/evidence.py
+++ b/foxstep/tables/evidence.py
@@ -1,101 +1,102 @@
-"""What each version did while it was in force, and which was last good. No I/O, no clock.
+"""Results of each version while it was in force, and the last good version. No I/O, no clock.
 
-Reports are added up by the version that was newest when they came, shifted by the time that a table takes to
-reach proxies and their reports to come back. Versions change each second or so; evidence is of stretches of
-versions that together met enough tries to say something.
+Reports count for the version that was newest when they arrived, less the time that a table takes to reach the
+proxies and their reports to come back. Versions change about every second, so they are judged in intervals of
+consecutive versions that together have enough tries.
 """
 
-ENOUGH = 200  # tries that make a stretch of versions tell
-ERRORS_UP = 2.0  # a stretch is good up to so many times the calm aborted part,
-CALM_ERRORS = 0.03  # which counts as this much at least,
-LATENCY_UP = 1.5  # and up to so many times the calm latency
-REFUSED_PART = 0.1  # and while fewer of its tables were refused
-CALM_PART = 4  # calm is the best of so many parts of the stretches
+MIN_TRIES = 200  # tries that an interval needs before it is judged
+MAX_ERROR_RATIO = 2.0  # of a good interval's aborted fraction to the baseline
+MIN_BASELINE_ERRORS = 0.03  # lower limit of the baseline's aborted fraction
+MAX_LATENCY_RATIO = 1.5  # of a good interval's mean latency to the baseline
+MAX_REFUSED_FRACTION = 0.1  # of the tables of a good interval
+BASELINE_DIVISOR = 4  # the baseline is what the best quarter of the intervals stays within
 
 
-class Stretch:
-    """Versions in a row and what was met meanwhile."""
+class Interval:
+    """Consecutive versions and the results while they were in force."""
 
     def __init__(self, first):
         self.first = self.last = first
         self.tries = self.aborted = self.acked = 0
         self.latency = 0.0
-        self.tables = self.refused = self.broken = 0
+        self.tables = self.refused = self.violations = 0
 
-    def errors(self):
+    def aborted_fraction(self):
         return self.aborted / self.tries if self.tries else 0.0
 
-    def wait(self):
+    def mean_latency(self):
         return self.latency / self.acked if self.acked else 0.0
 
 
 class Evidence:
-    """`lag`: microseconds from an order to the first reports that tell of it."""
+    """`lag`: microseconds from an order to the first reports of its effect. `keep`: intervals remembered."""
 
     def __init__(self, lag, keep=256):
         self.lag, self.keep = lag, keep
-        self.stretches, self.ordered = [], []  # oldest first; (at, version) not yet told of
+        self.intervals, self.pending = [], []  # oldest first; (at, version) without reports so far
 
-    def ordered_now(self, now, version):
-        self.ordered.append((now, version))
+    def record_version(self, now, version):
+        self.pending.append((now, version))
 
     def current(self, now):
-        """The stretch that reports of now tell of, or None before the first version."""
-        while self.ordered and self.ordered[0][0] + self.lag <= now:
-            _, version = self.ordered.pop(0)
-            last = self.stretches[-1] if self.stretches else None
-            if last is None or last.tries >= ENOUGH:
-                self.stretches.append(Stretch(version))
-                del self.stretches[: -self.keep]
+        """The interval to which reports that arrive now belong, or None before the first version."""
+        while self.pending and self.pending[0][0] + self.lag <= now:
+            _, version = self.pending.pop(0)
+            last = self.intervals[-1] if self.intervals else None
+            if last is None or last.tries >= MIN_TRIES:
+                self.intervals.append(Interval(version))
+                del self.intervals[: -self.keep]
             else:
                 last.last = version
-        return self.stretches[-1] if self.stretches else None
+        return self.intervals[-1] if self.intervals else None
 
     def met(self, now, tries, aborted, latency):
-        """One report line: `latency` the total of the acked tries' times."""
-        stretch = self.current(now)
-        if stretch:
-            stretch.tries += tries
-            stretch.aborted += aborted
-            stretch.acked += tries - aborted
-            stretch.latency += latency
-
-    def answered(self, now, refused):
-        stretch = self.current(now)
-        if stretch:
-            stretch.tables += 1
-            stretch.refused += refused
-
-    def rule_broken(self, now):
-        """The host saw a rule in danger (a proxy without a line, the channel over its limit)."""
-        stretch = self.current(now)
-        if stretch:
-            stretch.broken += 1
-
-    def judged(self):
-        """[(stretch, "good" or why not)], oldest first; stretches with too little to say left out."""
-        telling = [s for s in self.stretches if s.tries >= ENOUGH]
-        if not telling:
+        """Adds one report line. `latency`: total latency of the acked tries, microseconds."""
+        interval = self.current(now)
+        if interval:
+            interval.tries += tries
+            interval.aborted += aborted
+            interval.acked += tries - aborted
+            interval.latency += latency
+
+    def record_answer(self, now, refused):
+        """Adds the answer of a proxy to a table."""
+        interval = self.current(now)
+        if interval:
+            interval.tables += 1
+            interval.refused += refused
+
+    def record_rule_violation(self, now):
+        """The host saw a rule at risk: a proxy without a line, or the channel over its limit."""
+        interval = self.current(now)
+        if interval:
+            interval.violations += 1
+
+    def verdicts(self):
+        """[(interval, "good" or the reason why not)], oldest first, without intervals with too few tries."""
+        judged = [i for i in self.intervals if i.tries >= MIN_TRIES]
+        if not judged:
             return []
-        best = max(1, len(telling) // CALM_PART)
-        calm_errors = max(sorted(s.errors() for s in telling)[best - 1], CALM_ERRORS)
-        calm_wait = sorted(s.wait() for s in telling)[best - 1]
-        return [(s, self.judge(s, calm_errors, calm_wait)) for s in telling]
+        best = max(1, len(judged) // BASELINE_DIVISOR)
+        baseline_errors = max(sorted(i.aborted_fraction() for i in judged)[best - 1], MIN_BASELINE_ERRORS)
+        baseline_latency = sorted(i.mean_latency() for i in judged)[best - 1]
+        return [(i, self.verdict(i, baseline_errors, baseline_latency)) for i in judged]
 
-    def judge(self, stretch, calm_errors, calm_wait):
-        if stretch.broken:
+    def verdict(self, interval, baseline_errors, baseline_latency):
+        if interval.violations:
             return "a rule was in danger"
-        if stretch.errors() > ERRORS_UP * calm_errors:
-            return f"aborted {stretch.errors():.2f}"
-        if calm_wait and stretch.wait() > LATENCY_UP * calm_wait:
-            return f"latency {stretch.wait() / 1000:.0f} ms"
-        if stretch.refused > REFUSED_PART * stretch.tables:
-            return f"{stretch.refused} tables refused"
+        if interval.aborted_fraction() > MAX_ERROR_RATIO * baseline_errors:
+            return f"aborted {interval.aborted_fraction():.2f}"
+        if baseline_latency and interval.mean_latency() > MAX_LATENCY_RATIO * baseline_latency:
+            return f"latency {interval.mean_latency() / 1000:.0f} ms"
+        if interval.refused > MAX_REFUSED_FRACTION * interval.tables:
+            return f"{interval.refused} tables refused"
         return "good"
 
     def last_good(self, known):
-        """The newest version of the newest good stretch that is still in the history, or None."""
-        for stretch, verdict in reversed(self.judged()):
-            if verdict == "good" and stretch.last in known:
-                return stretch.last
+        """The newest version of the newest good interval that is still in the history, or None."""
+        for interval, verdict in reversed(self.verdicts()):
+            if verdict == "good" and interval.last in known:
+                return interval.last
         return None
--- a/foxstep/tables/ledger.py
+++ b/foxstep/tables/ledger.py
@@ -1,8 +1,8 @@
-"""An append-only history of what proxies are meant to hold, and of what each is known to hold.
+"""An append-only history of what proxies are meant to hold, and the record of what each is known to hold.
 
-A version is the state of the whole fleet: proxy -> table. Versions share all that did not change (a
-persistent hash trie), so one costs what changed in it. A table is what one proxy is meant to hold: server ->
-weight, with a hash of its content that the receiver checks.
+A version is the state of the whole fleet: proxy -> table. Versions share what did not change (the fleet is a
+persistent hash trie), so that a version costs only its changes. A table is what one proxy is meant to hold:
+server -> weight, with a hash of the content that the receiver checks.
 """
 
 from collections import OrderedDict, deque
@@ -13,7 +13,7 @@
 from foxstep.tables.version import Version, epoch_after
 
 WEIGHT_UNIT = 1000  # weights are hashed, and written, as whole thousandths
-IN_FLIGHT = 64  # tables remembered as under way to one proxy
+MAX_IN_FLIGHT = 64  # tables sent to one proxy and not yet answered that are remembered
 
 
 def thousandths(weight):
@@ -22,24 +22,26 @@
 
 def content_hash(lines):
     """BLAKE2b, 16 bytes as hex, over "server weight\\n" in order of servers; weights in whole thousandths."""
-    made = blake2b(digest_size=16)
+    digest = blake2b(digest_size=16)
     for server in sorted(lines):
-        made.update(f"{server} {thousandths(lines[server])}\n".encode())
-    return made.hexdigest()
+        digest.update(f"{server} {thousandths(lines[server])}\n".encode())
+    return digest.hexdigest()
 
 
 class Table:
-    """What one proxy is meant to hold as of a version. `of`: the version that it was rolled back to, or
-    None."""
+    """What one proxy is meant to hold as of a version.
 
-    __slots__ = ("version", "lines", "of", "_hash")
+    `rolled_back_to`: the version that the proxy was rolled back to, or None.
+    """
 
-    def __init__(self, version, lines, of=None):
-        self.version, self.lines, self.of, self._hash = version, lines, of, None
+    __slots__ = ("version", "lines", "rolled_back_to", "_hash")
+
+    def __init__(self, version, lines, rolled_back_to=None):
+        self.version, self.lines, self.rolled_back_to, self._hash = version, lines, rolled_back_to, None
 
     def name(self):
-        """As written to proxies: the version, and what it was rolled back to."""
-        return f"{self.version}@{self.of}" if self.of else str(self.version)
+        """The name that is written to proxies: the version, and the one that it was rolled back to."""
+        return f"{self.version}@{self.rolled_back_to}" if self.rolled_back_to else str(self.version)
 
     @property
     def hash(self):
@@ -48,66 +50,74 @@
         return self._hash
 
     def changes_to(self, lines):
-        """server -> weight that turns this table into `lines`; 0 removes."""
+        """server -> weight that turns this table into `lines`; 0 removes the line."""
         changed = {s: 0 for s in self.lines if s not in lines}
         changed.update((s, w) for s, w in lines.items() if self.lines.get(s) != w)
         return changed
 
 
 def changed_fleet(fleet, changed):
-    """A fleet (proxy -> Table) with what an entry changes in it; None takes a proxy out."""
-    with fleet.mutate() as made:
+    """A fleet (proxy -> Table) with the changes of an entry applied; None removes a proxy."""
+    with fleet.mutate() as mutation:
         for proxy, table in changed.items():
             if table is None:
-                made.pop(proxy, None)
+                mutation.pop(proxy, None)
             else:
-                made[proxy] = table
-        return made.finish()
+                mutation[proxy] = table
+        return mutation.finish()
 
 
 class Entry:
-    """One version: the fleet's tables, and what was changed in it."""
+    """One version: the fleet's tables, and those that changed in it."""
 
-    __slots__ = ("version", "at", "cause", "fleet", "changed", "aside")
+    __slots__ = ("version", "at", "cause", "fleet", "changed", "detached")
 
     def __init__(self, version, at, cause, fleet, changed):
         self.version, self.at, self.cause, self.fleet, self.changed = version, at, cause, fleet, changed
-        self.aside = False  # made by hand: the next entry does not build on it
+        self.detached = False  # made by an operator: the next entry does not build on it
 
 
 class Holder:
-    """What one proxy is known to hold, and what is under way to it."""
+    """What one proxy is known to hold, and what was sent to it and not yet answered."""
 
     def __init__(self):
-        self.held = None  # version that it accepted last, or told when it joined
+        self.held = None  # the version that it accepted last, or reported when it joined
         self.joined = False
-        self.in_flight = deque(maxlen=IN_FLIGHT)  # (version, at), oldest first
-        self.refused = None  # version that it refused last, until it accepts a later one
+        self.in_flight = deque(maxlen=MAX_IN_FLIGHT)  # (version, sent at), oldest first
+        self.refused = None  # the version that it refused last, until it accepts that or a later one
         self.reason = ""
-        self.lost = self.odd = 0  # tables lost with a stream; answers for what was never sent
+        self.lost = self.unexpected = 0  # tables lost with a stream; answers to tables that were not sent
 
 
 class Ledger:
+    """`keep`: versions in the history, beside retained ones. `me`: number of this controller."""
+
     def __init__(self, epoch, keep=1000, me=0):
         self.epoch, self.keep, self.me, self.count = epoch, keep, me, 0
         self.entries = OrderedDict()  # Version -> Entry, oldest first
         self.fleet = Map()  # proxy -> Table, the newest
         self.holders = {}
-        self.kept = {}  # versions that retention leaves, as a set in order
+        self.retained = {}  # versions that are not dropped from the history; an ordered set
 
     # -- history
 
-    def commit(self, now, cause, tables, of=None):
-        """A new version in which some proxies are meant to hold other lines (None: the proxy is gone for
-        good); `of` says for which proxies it rolls back, and to what. Answers it, or None if nothing
-        changed."""
+    def commit(self, now, cause, tables, rolled_back_to=None):
+        """Adds a version in which some proxies are meant to hold other lines.
+
+        `tables`: proxy -> lines, or None if the proxy is gone for good. `rolled_back_to`: proxy -> the
+        version that this one rolls it back to. Returns the version, or None if nothing changed.
+        """
         changed = {}
         for proxy, lines in tables.items():
             known = self.fleet.get(proxy)
             if lines is None:
                 if known is not None:
                     changed[proxy] = None
-            elif known is None or known.lines != lines or known.of != (of or {}).get(proxy):
+            elif (
+                known is None
+                or known.lines != lines
+                or known.rolled_back_to != (rolled_back_to or {}).get(proxy)
+            ):
                 changed[proxy] = lines if isinstance(lines, Map) else Map(lines)
         if not changed:
             return None
@@ -120,7 +130,9 @@
                 cause,
                 None,
                 {
-                    proxy: lines if lines is None else Table(version, lines, (of or {}).get(proxy))
+                    proxy: lines
+                    if lines is None
+                    else Table(version, lines, (rolled_back_to or {}).get(proxy))
                     for proxy, lines in changed.items()
                 },
             )
@@ -128,28 +140,34 @@
         return version
 
     def append(self, entry):
-        """Takes an entry with its changes in: the door of `commit` and of the store."""
+        """Adds an entry with its changes, made by `commit` or read from a store, and drops the oldest."""
         self.fleet = entry.fleet = changed_fleet(self.fleet, entry.changed)
         self.entries[entry.version] = entry
         if entry.version.epoch == self.epoch:
             self.count = max(self.count, entry.version.count)
-        for version in list(self.entries)[: max(0, len(self.entries) - self.keep - len(self.kept))]:
-            if version not in self.kept:
+        for version in list(self.entries)[: max(0, len(self.entries) - self.keep - len(self.retained))]:
+            if version not in self.retained:
                 del self.entries[version]
 
     def newest(self):
         return next(reversed(self.entries), None)
 
     def table(self, proxy, version=None):
-        """What a proxy was meant to hold as of a version (the newest), or None. Raises KeyError for a version
-        that is not in the history."""
+        """What a proxy was meant to hold as of a version (by default the newest), or None.
+
+        Raises KeyError if the version is not in the history.
+        """
         fleet = self.fleet if version is None else self.entries[version].fleet
         return fleet.get(proxy)
 
     def outrank(self, seen):
-        """A proxy holds a version of another controller's, or of a life that the store has lost."""
+        """Raises the epoch above that of a version that a proxy holds; returns whether it had to be raised.
+
+        Such a version was made by another controller, or by a previous process whose store was lost.
+        """
         if seen.epoch > self.epoch:
-            self.epoch, self.count = epoch_after(seen.epoch, self.me), 0
+            self.epoch = epoch_after(seen.epoch, self.me)
+            self.count = 0
             return True
         return False
 
@@ -159,10 +177,12 @@
         return self.holders.setdefault(proxy, Holder())
 
     def joined(self, proxy, held=None):
-        """A stream is up; the proxy tells what it holds, if it knows. Answers whether that is what it is
-        meant to hold."""
+        """A stream is up; `held` is the version that the proxy reports, if any.
+
+        Returns whether that is the version that it is meant to hold.
+        """
         holder = self.holder(proxy)
-        self.lose(holder)
+        self.discard_in_flight(holder)
         holder.joined, holder.refused, holder.reason = True, None, ""
         holder.held = held
         if held is not None:
@@ -170,25 +190,25 @@
         table = self.fleet.get(proxy)
         return table is not None and held == table.version
 
-    def lose(self, holder):
+    def discard_in_flight(self, holder):
         holder.lost += len(holder.in_flight)
         holder.in_flight.clear()
 
     def left(self, proxy):
-        """Its stream broke: what was under way is lost, what it held it goes on holding."""
+        """The proxy's stream broke: unanswered tables are lost, and it goes on with what it holds."""
         holder = self.holder(proxy)
-        self.lose(holder)
+        self.discard_in_flight(holder)
         holder.joined = False
 
     def sent(self, now, proxy, version):
         self.holder(proxy).in_flight.append((version, now))
 
     def accepted(self, proxy, version):
-        """Answers whether that was news: late, doubled and unheard-of answers change nothing."""
+        """Returns whether this changed anything: late, duplicate and unknown answers do not."""
         holder = self.holder(proxy)
-        under_way = [v for v, _ in holder.in_flight]
-        if version not in under_way:
-            holder.odd += 1
+        in_flight = [v for v, _ in holder.in_flight]
+        if version not in in_flight:
+            holder.unexpected += 1
             return False
         while holder.in_flight and holder.in_flight.popleft()[0] != version:
             pass
@@ -200,7 +220,7 @@
     def refused(self, proxy, version, reason):
         holder = self.holder(proxy)
         if version not in [v for v, _ in holder.in_flight]:
-            holder.odd += 1
+            holder.unexpected += 1
             return False
         while holder.in_flight and holder.in_flight.popleft()[0] != version:
             pass
@@ -208,7 +228,7 @@
         return True
 
     def behind(self):
-        """Joined proxies that do not hold what they are meant to, in order."""
+        """Joined proxies that do not hold what they are meant to hold, in order."""
         return [
             p
             for p, h in self.holders.items()
--- a/foxstep/tables/rollback.py
+++ b/foxstep/tables/rollback.py
@@ -1,128 +1,150 @@
-"""Pins, and rollbacks by stages. No I/O, no clock.
+"""Pins and staged rollbacks. No I/O, no clock.
 
-A pin holds the proxies of a scope to a version. A rollback sets its pin in waves, each twice the one before,
-the next when all of a wave hold their table; it stops where too many refuse, or do not answer in time.
+A pin holds the proxies of a scope to a version. A rollback applies its pin in waves, each twice as large as
+the one before. The next wave starts when all proxies of the last one hold their table; the rollback stops if
+too many refuse it or do not answer in time.
 """
 
-FIRST_WAVE = 1
-GROWTH = 2
-FAILED_PART = 0.1  # of a wave that may refuse or stay silent before a rollback stops
-RUNNING, DONE, STOPPED, REPLACED = "running", "done", "stopped", "replaced"
+FIRST_WAVE_SIZE = 1  # proxies
+WAVE_GROWTH = 2
+MAX_FAILED_FRACTION = 0.1  # of the proxies reached; a rollback stops if more refuse or do not answer
+RUNNING = "running"
+DONE = "done"
+STOPPED = "stopped"
+REPLACED = "replaced"
 
 
 class Rollback:
-    """One order to hold a scope to a version. Scope: "fleet", "zone NAME" or "proxy ID"."""
+    """One order to hold a scope to a version.
 
-    def __init__(self, number, scope, version, ordered_at, wait, state=RUNNING, reached=()):
+    `scope`: "fleet", "zone NAME" or "proxy ID". `wave_timeout`: microseconds that a wave has for its answers.
+    """
+
+    def __init__(self, number, scope, version, ordered_at, wave_timeout, state=RUNNING, reached=()):
         self.number, self.scope, self.version = number, scope, version
-        self.ordered_at, self.wait = ordered_at, wait  # microseconds that a wave has for its answers
-        self.state, self.why, self.heir = state, "", None  # the rollback that replaced it
-        self.reached = dict.fromkeys(reached)  # proxies that are held to it, in order
-        self.wave, self.wave_at, self.wave_size = [], None, FIRST_WAVE
-        self.failed = {}  # proxy -> why
-        self.told = None  # the state last handed to the store
-        self.done = state == DONE  # it reached all: later joiners too
+        self.ordered_at, self.wave_timeout = ordered_at, wave_timeout
+        self.state, self.reason, self.successor = state, "", None  # the successor is what replaced it
+        self.reached = dict.fromkeys(reached)  # proxies that are held to the version, in order
+        self.wave, self.wave_at, self.wave_size = [], None, FIRST_WAVE_SIZE
+        self.failed = {}  # proxy -> reason
+        self.stored_state = None  # the state last passed to the store
+        self.done = state == DONE  # it reached all proxies, so it covers those that join later too
 
     def covers(self, proxy, zone):
         kind, _, name = self.scope.partition(" ")
         return kind == "fleet" or (kind == "zone" and zone == name) or (kind == "proxy" and proxy == name)
 
-    def weight(self):
-        """The narrower scope counts, then the newer order."""
+    def precedence(self):
+        """Sort key: the narrower scope wins, then the newer order."""
         return {"fleet": 0, "zone": 1, "proxy": 2}[self.scope.partition(" ")[0]], self.number
 
 
 class Rollbacks:
-    """`settled(proxy, rollback)` answers "yes", "no" or why it failed; `joined` is proxy -> zone, in
-    order."""
+    """All rollbacks, oldest first.
+
+    Arguments of the methods: `settled(proxy, rollback)` returns "yes", "no" or why the proxy failed;
+    `joined` is proxy -> zone, in order.
+    """
 
     def __init__(self):
         self.all, self.count = [], 0
 
-    def order(self, now, scope, version, wait, at_once=False):
-        """A new rollback (`at_once`: a pin, without waves). An older one of the same scope is replaced: it
-        sets no more proxies, and those that it has set follow the newer one."""
+    def order(self, now, scope, version, wave_timeout, at_once=False):
+        """Adds a rollback (`at_once`: a pin, without waves).
+
+        An older one of the same scope is replaced: it reaches no more proxies, and those that it reached
+        follow the newer one once that reaches them.
+        """
         replaced = []
         for other in self.active():
             if other.scope == scope:
-                other.state, other.why = REPLACED, f"by {self.count + 1}"
+                other.state, other.reason = REPLACED, f"by {self.count + 1}"
                 replaced.append(other)
         self.count += 1
-        made = Rollback(self.count, scope, version, now, wait)
+        rollback = Rollback(self.count, scope, version, now, wave_timeout)
         for other in replaced:
-            other.heir = made
+            other.successor = rollback
         if at_once:
-            made.wave_size = 1 << 30
-        self.all.append(made)
-        return made
+            rollback.wave_size = 1 << 30
+        self.all.append(rollback)
+        return rollback
 
     def release(self, scope):
-        """Unpins a scope; answers the rollbacks that ended by it."""
+        """Unpins a scope; returns the rollbacks that ended."""
         ended = [r for r in self.active() if r.scope == scope or scope == "fleet"]
         for rollback in ended:
-            rollback.state, rollback.why = REPLACED, "unpinned"
+            rollback.state, rollback.reason = REPLACED, "unpinned"
         return ended
 
     def active(self):
         return [r for r in self.all if r.state != REPLACED]
 
-    def of(self, proxy, zone):
-        """The rollback that holds a proxy now, or None. One that has not reached it yet leaves it to what
-        held it before."""
-        held = [
-            r for r in self.all if self.alive(r) and r.covers(proxy, zone) and (proxy in r.reached or r.done)
+    def rollback_of(self, proxy, zone):
+        """The rollback that holds a proxy now, or None.
+
+        Until a rollback reaches the proxy, the one that held it before goes on holding it.
+        """
+        holding = [
+            r
+            for r in self.all
+            if self.is_effective(r) and r.covers(proxy, zone) and (proxy in r.reached or r.done)
         ]
-        return max(held, key=Rollback.weight, default=None)
+        return max(holding, key=Rollback.precedence, default=None)
 
-    def alive(self, rollback):
-        """Whether it still holds proxies: its heir may not have reached them yet."""
+    def is_effective(self, rollback):
+        """Whether it still holds proxies: its successor may not have reached all of them yet."""
         while rollback.state == REPLACED:
-            if rollback.heir is None:
+            if rollback.successor is None:
                 return False
-            rollback = rollback.heir
+            rollback = rollback.successor
         return True
 
     def advance(self, now, joined, settled):
-        """Moves running rollbacks on; answers the proxies that are newly held, in order."""
-        fresh = []
+        """Advances all running rollbacks; returns the proxies that they reached, in order."""
+        reached = []
         for rollback in self.active():
             if rollback.state == RUNNING:
-                fresh += self.step(now, rollback, joined, settled)
-        return fresh
+                reached += self.advance_one(now, rollback, joined, settled)
+        return reached
 
-    def step(self, now, rollback, joined, settled):
+    def advance_one(self, now, rollback, joined, settled):
         waiting = []
         for proxy in rollback.wave:
             if proxy not in joined:
-                continue  # it left: what it is to hold meets it when it joins again
+                continue  # it left, and is sent its table when it joins again
             answer = settled(proxy, rollback)
-            if answer == "no" and now - rollback.wave_at < rollback.wait:
+            if answer == "no" and now - rollback.wave_at < rollback.wave_timeout:
                 waiting.append(proxy)
             elif answer != "yes":
                 rollback.failed[proxy] = "no answer" if answer == "no" else answer
-        if len(rollback.failed) > FAILED_PART * max(len(rollback.reached), 1):
+        if len(rollback.failed) > MAX_FAILED_FRACTION * max(len(rollback.reached), 1):
             rollback.state = STOPPED
-            proxy, why = next(iter(rollback.failed.items()))
-            rollback.why = f"{len(rollback.failed)} failed, the first {proxy}: {why}"
+            proxy, reason = next(iter(rollback.failed.items()))
+            rollback.reason = f"{len(rollback.failed)} failed, the first {proxy}: {reason}"
             return []
         if waiting:
             rollback.wave = waiting
             return []
-        left = [p for p, zone in joined.items() if rollback.covers(p, zone) and p not in rollback.reached]
-        if not left:
+        remaining = [
+            p for p, zone in joined.items() if rollback.covers(p, zone) and p not in rollback.reached
+        ]
+        if not remaining:
             rollback.state, rollback.wave, rollback.done = DONE, [], True
             return []
-        rollback.wave, rollback.wave_at = left[: rollback.wave_size], now
-        rollback.wave_size *= GROWTH
+        rollback.wave, rollback.wave_at = remaining[: rollback.wave_size], now
+        rollback.wave_size *= WAVE_GROWTH
         rollback.reached.update(dict.fromkeys(rollback.wave))
         return rollback.wave
 
 
-def bound(proxies, lines, head, lines_per_s, transit, slack):
-    """Microseconds within which all joined proxies hold a rolled-back table, if none fails: the waves' ways
-    there and back, and what the channel takes for whole tables of so many lines."""
-    waves, size, left = 0, FIRST_WAVE, proxies
-    while left > 0:
-        waves, left, size = waves + 1, left - size, size * GROWTH
+def convergence_bound(proxies, lines, head, lines_per_s, transit, slack):
+    """Microseconds within which all joined proxies hold a rolled-back table, if none fails.
+
+    The sum of a round trip for each wave (`transit` one way, and `slack`) and the time that the channel needs
+    for a full table of so many lines for each proxy.
+    """
+    waves, size, remaining = 0, FIRST_WAVE_SIZE, proxies
+    while remaining > 0:
+        waves, remaining, size = waves + 1, remaining - size, size * WAVE_GROWTH
     sending = proxies * (lines + head + 1) / lines_per_s * 1_000_000
     return round(waves * (2 * transit + slack) + sending)
--- a/foxstep/tables/version.py
+++ b/foxstep/tables/version.py
@@ -1,13 +1,13 @@
-"""Names of versions: an epoch, which grows with every start of any controller, and a count within it."""
+"""Version numbers: an epoch, which grows with every start of any controller, and a count within the epoch."""
 
 import re
 from typing import NamedTuple
 
-WRITTEN = re.compile(r"(\d{1,19})\.(\d{1,19})")
+VERSION_PATTERN = re.compile(r"(\d{1,19})\.(\d{1,19})")
 
 
 class Version(NamedTuple):
-    """Ordered by epoch, then count; whole numbers without a bound, so that none wraps."""
+    """Ordered by epoch, then by count. Python integers have no bound, so neither of them wraps."""
 
     epoch: int
     count: int
@@ -16,20 +16,24 @@
         return f"{self.epoch}.{self.count}"
 
     @classmethod
-    def read(cls, text):
-        """Raises ValueError. What follows a "/" or "@" (how often it was written, and what it was rolled back
-        to) is no part of the version."""
-        found = WRITTEN.fullmatch(text.partition("/")[0].partition("@")[0])
+    def parse(cls, text):
+        """The version in `text`. Raises ValueError if there is none.
+
+        What follows a "/" (how often it was written) or "@" (the version it was rolled back to) is ignored.
+        """
+        found = VERSION_PATTERN.fullmatch(text.partition("/")[0].partition("@")[0])
         if not found:
             raise ValueError(f'expected a version such as "12.345", got {text[:60]!r}')
         return cls(int(found[1]), int(found[2]))
 
 
-CONTROLLERS = 64  # controllers of one site that can tell their epochs apart
+MAX_CONTROLLERS = 64  # controllers of one site whose epochs never coincide
 
 
 def epoch_after(seen, me):
-    """The first epoch of controller `me` above `seen`, and of no other controller. Guards against a store
-    that was lost and a wall clock that stepped back, either of which would start a controller below what
-    proxies hold, and against two controllers that start within one second."""
-    return (seen // CONTROLLERS + 1) * CONTROLLERS + me % CONTROLLERS
+    """The lowest epoch above `seen` that belongs to controller `me` and to no other controller.
+
+    Without this, a controller whose store was lost or whose wall clock stepped back would start below the
+    versions that proxies hold, and two controllers that start within one second would use the same epoch.
+    """
+    return (seen // MAX_CONTROLLERS + 1) * MAX_CONTROLLERS + me % MAX_CONTROLLERS
