--- a/foxstep/live/book.py
+++ b/foxstep/live/book.py
@@ -154,7 +154,7 @@
         for by_proxy in (self.holdings, self.bindings, self.batch, self.withdrawn_by_proxy, self.unaddressed):
             by_proxy.pop(proxy, None)
 
-    def message(self, proxy, now):
+    def batch_message(self, proxy, now):
         """The proxy's message of the current batch."""
         if proxy not in self.batch:
             self.batch[proxy] = Message(proxy, now, self.head)
@@ -178,7 +178,7 @@
         else:
             lines.pop(server, None)
         for proxy in self.proxies_of(table):
-            message = self.message(proxy, now)
+            message = self.batch_message(proxy, now)
             message.lines[table, server] = weight
             if weight and server in self.withdrawn and server not in self.withdrawn_by_proxy[proxy]:
                 message.shut[server] = self.withdrawn_by_proxy[proxy][server] = True
@@ -189,7 +189,7 @@
         for proxy in self.proxies_of(table):
             emptied = Message(proxy, now, self.head)
             emptied.emptied[table] = None
-            self.message(proxy, now).fold(emptied)
+            self.batch_message(proxy, now).fold(emptied)
 
     def admit(self, now, table, mask, quota, tries):
         indexes = self.op_type_indexes(mask)
@@ -199,7 +199,7 @@
         for proxy in proxies:
             for index in indexes:
                 if table is EVERYONE or self.bindings[proxy][index] == table:
-                    self.message(proxy, now).levels[table, index] = (quota, tries)
+                    self.batch_message(proxy, now).levels[table, index] = (quota, tries)
 
     def withdraw(self, now, server, withdrawn):
         if withdrawn:
@@ -209,9 +209,9 @@
         for proxy, tables in self.bindings.items():
             has_server = any(server in self.lines.get(table, {}) for table in tables if table is not None)
             if withdrawn and has_server:
-                self.message(proxy, now).shut[server] = self.withdrawn_by_proxy[proxy][server] = True
+                self.batch_message(proxy, now).shut[server] = self.withdrawn_by_proxy[proxy][server] = True
             elif not withdrawn and self.withdrawn_by_proxy[proxy].pop(server, False):
-                self.message(proxy, now).shut[server] = False
+                self.batch_message(proxy, now).shut[server] = False
 
     def bind(self, now, proxy, table, mask):
         """Binds a joined proxy to a table; everything that it is then to hold is sent to it again."""
@@ -224,10 +224,10 @@
             if bound_table is not None:
                 self.bound_proxies.setdefault(bound_table, {})[proxy] = None
         marks = self.batch[proxy].marks if proxy in self.batch else []
-        self.batch[proxy] = self.whole(proxy, now)
+        self.batch[proxy] = self.full_message(proxy, now)
         self.batch[proxy].marks = marks
 
-    def whole(self, proxy, now):
+    def full_message(self, proxy, now):
         """A message with everything that a proxy is to hold as ordered."""
         message, tables = Message(proxy, now, self.head), self.bindings[proxy]
         message.whole = True
@@ -246,7 +246,7 @@
     def mark(self, now, number, all_proxies):
         if all_proxies:
             for proxy in self.bindings:
-                self.message(proxy, now)
+                self.batch_message(proxy, now)
         for message in self.batch.values():
             message.marks.append((number, now))
 
