--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -66,8 +66,8 @@
     def shade(self, shaded, lines):
         """Replaces list lines of servers of which other controllers know something newer than this list.
 
-        `shaded`: server -> the line that replaces its list line. `lines`: those of them that the decision
-        module is to be told now, in place of what it was told before.
+        `shaded`: server -> the line that replaces its list line. `lines`: those of them that the
+        decision module is to be told now, in place of what it was told before.
         """
         self.shaded = shaded
         if lines:
