--- a/foxstep/live/reader.py
+++ b/foxstep/live/reader.py
@@ -11,8 +11,8 @@
 class Reader:
     """`intake` says which report is read next.
 
-    `read`: kind -> read(now, proxy, report, step, first, lost), a function of a front that turns a report
-    into calls on the intake.
+    `read`: kind -> read(now, proxy, report, step, first, lost), a function of a front that turns a
+    report into calls on the intake.
     """
 
     def __init__(self, intake):
