--- a/foxstep/peers/__init__.py
+++ b/foxstep/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Controllers that share a fleet: who is alive, who serves which proxy; the transport of their notes."""
+"""Controllers that share a fleet: membership, replicated facts, and which of them serves each proxy."""
--- a/foxstep/peers/bounds.py
+++ b/foxstep/peers/bounds.py
@@ -1,27 +1,36 @@
-"""How long things may take among controllers, from their figures. No I/O, no clock; whole microseconds."""
+"""Upper bounds on recovery times after a network split, computed from the protocol's parameters.
+
+No I/O and no clock. Durations are whole microseconds.
+"""
 
 from math import ceil, log
 
-from foxstep.peers.membership import MOST_HEALTH
-from foxstep.peers.place import SETTLED, STOOD
+from foxstep.peers.membership import MAX_LOCAL_HEALTH
+from foxstep.peers.place import MIN_ALIVE_PERIODS, STABLE_HOME_PERIODS
+
+EXCEED_PROBABILITY = 1e-3  # accepted probability that a bound is exceeded because of lost datagrams
+
 
-RARE = 1e-3  # what a bound may be passed by for want of luck
+def rounds_to_succeed(loss_ratio):
+    """Rounds of pings after which, except with `EXCEED_PROBABILITY`, a ping and its ack have both arrived."""
+    fails = 1 - (1 - loss_ratio) ** 2
+    return 1 if fails <= 0 else ceil(log(EXCEED_PROBABILITY) / log(fails))
 
 
-def rounds_within(lost):
-    """Rounds of pings until one gets through and is answered, but for a rare time, when so many are lost."""
-    fails = 1 - (1 - lost) ** 2
-    return 1 if fails <= 0 else ceil(log(RARE) / log(fails))
+def rediscovery_bound(period, others, loss_ratio=0.0):
+    """Time from the end of a split until a controller that was considered gone is known to be alive.
 
+    Each round pings all other controllers, also those that are gone. A controller with the worst local health
+    pings at an interval that is `1 + MAX_LOCAL_HEALTH` times as long.
+    """
+    return rounds_to_succeed(loss_ratio) * others * period * (1 + MAX_LOCAL_HEALTH)
 
-def found_within(period, others, lost=0.0):
-    """From the end of a split until a controller that was held to be gone is known to be alive: each round
-    pings all, also those that are gone, and one that was unwell pings ever more slowly."""
-    return rounds_within(lost) * others * period * (1 + MOST_HEALTH)
 
+def heal_bound(period, others, spacing, proxies, loss_ratio=0.0, reconnect=1_000_000):
+    """Time from the end of a split until every proxy is connected to its home controller again.
 
-def heal_bound(period, others, spacing, proxies, lost=0.0, redial=1_000_000):
-    """From the end of a split until every proxy is at home again: the others are found, have been there and
-    been a proxy's home for as long as is asked for, and proxies are sent one after the other, and dial."""
-    sure = (SETTLED + STOOD) * period
-    return found_within(period, others, lost) + sure + proxies * spacing + redial
+    It is the sum of rediscovery, the time for which a home must have been alive and unchanged before proxies
+    are redirected to it, one `spacing` for each proxy (they are redirected one at a time), and a reconnect.
+    """
+    settling = (MIN_ALIVE_PERIODS + STABLE_HOME_PERIODS) * period
+    return rediscovery_bound(period, others, loss_ratio) + settling + proxies * spacing + reconnect
--- a/foxstep/peers/learning.py
+++ b/foxstep/peers/learning.py
@@ -1,127 +1,145 @@
-"""What a controller has learnt, told to the others and kept for its next life; and what it takes of theirs.
+"""Publishes what a controller has learned, saves it for its restart, and applies its peers' facts.
 
-Hosts the decisions of `learnt` and the copies of `replica`; without peers, a former life's word alone counts.
+Hosts the decisions of `facts` and the copies of `replica`. Without peers, only the facts saved before the
+restart are applied.
 """
 
 import anyio
 import msgspec
 
-from foxstep.peers.learnt import LANES, PROXIES, SERVERS, Hearsay, Teller, sound
-from foxstep.peers.replica import FORMER, Fact, Replica
+from foxstep.peers.facts import (
+    LANE_COUNT,
+    PROXY_LANE,
+    SERVER_LANE,
+    FactPublisher,
+    PeerFacts,
+    is_valid_fact,
+)
+from foxstep.peers.replica import PREVIOUS_PROCESS, Fact, Replica
 from foxstep.tables.version import Version, epoch_after
 
-SECOND = 1_000_000
-UNTOLD = 0.01  # ops a second of a proxy that tells none: where none does, all count alike
-KEPT_EVERY = 10  # cycles of reports after which what was learnt is written to the store anew
+SECOND_US = 1_000_000
+DEFAULT_RATE = 0.01  # ops per second of a proxy that reports none; if none does, all count alike
+SAVE_INTERVAL_CYCLES = 10  # report cycles between two writes of the facts to the store
 
 
 class Learning:
-    """`exchange`: bytes a second of what is told to others. `period`: microseconds between two looks."""
-
-    def __init__(self, host, me, exchange=16_000, period=250_000):
-        self.host, self.me, self.period = host, me, period
-        self.replica = Replica(me, host.epoch, LANES, exchange, host.clock())
-        self.teller, self.hearsay = Teller(self.replica), Hearsay(self.replica, host.site)
-        self.listed, self.keep_at, self.kept = {}, host.clock(), None
-        host.on_joined, host.on_left = self.joined, self.left
-        self.recall(host.store.facts, host.wall())
-
-    # -- a former life
-
-    def recall(self, kept, wall):
-        """What the store holds of a former life: (wall clock when it was so, a map a lane). A clock that has
-        stepped back tells no age: then the word counts half."""
-        if not kept:
+    """`bytes_per_s` limits what is sent to peers. `period` is the time between two exchanges in
+    microseconds."""
+
+    def __init__(self, host, me, bytes_per_s=16_000, period=250_000):
+        self.host = host
+        self.me = me
+        self.period = period
+        self.replica = Replica(me, host.epoch, LANE_COUNT, bytes_per_s, host.clock())
+        self.publisher = FactPublisher(self.replica)
+        self.peer_facts = PeerFacts(self.replica, host.site)
+        self.known_servers = {}  # servers of the list at the last exchange, as an ordered set
+        self.save_at = host.clock()
+        self.saved = None
+        host.on_joined, host.on_left = self.proxy_joined, self.proxy_left
+        self.restore(host.store.facts, host.wall())
+
+    # -- facts from before the restart
+
+    def restore(self, saved, wall):
+        """Loads what the store holds: (wall clock time of the save, a map for each lane).
+
+        If the wall clock has been set back, the age is unknown and the facts are trusted by half.
+        """
+        if not saved:
             return
-        at, lanes = kept
-        age = wall - at if wall >= at else self.hearsay.unknown_age()
+        at, lanes = saved
+        age = wall - at if wall >= at else self.peer_facts.default_age()
         now = self.host.clock()
-        for number, facts in enumerate(lanes[:LANES]):
-            lane = self.replica.lane(FORMER, number)
-            lane.confirmed = now - age
+        for number, facts in enumerate(lanes[:LANE_COUNT]):
+            lane = self.replica.lane(PREVIOUS_PROCESS, number)
+            lane.confirmed_at = now - age
             for count, (key, value) in enumerate(facts.items(), 1):
-                if value is not None and sound(number, key, value):
+                if value is not None and is_valid_fact(number, key, value):
                     lane.take(key, Fact(value, count, now - age))
 
-    def keep(self, now):
-        self.keep_at = now + KEPT_EVERY * self.host.site["cycle"]
+    def save(self, now):
+        self.save_at = now + SAVE_INTERVAL_CYCLES * self.host.site["cycle"]
         lanes = [
             {key: fact.value for key, fact in self.replica.of[self.me, n].live().items()}
-            for n in range(LANES)
+            for n in range(LANE_COUNT)
         ]
-        if lanes != self.kept and any(lanes):
-            self.kept = lanes
+        if lanes != self.saved and any(lanes):
+            self.saved = lanes
             self.host.store.keep_facts(msgspec.msgpack.encode((self.host.wall(), lanes)))
 
-    # -- proxies that come and go
+    # -- joining and leaving proxies
 
-    def joined(self, proxy, rate):
-        self.hearsay.came(self.host.clock(), proxy, max(rate, UNTOLD))
+    def proxy_joined(self, proxy, rate):
+        self.peer_facts.proxy_joined(self.host.clock(), proxy, max(rate, DEFAULT_RATE))
 
-    def left(self, proxy, rate):
-        rate = max(rate, UNTOLD)
+    def proxy_left(self, proxy, rate):
+        rate = max(rate, DEFAULT_RATE)
         rates = sum(self.rates().values()) + rate
-        self.hearsay.went(self.host.clock(), proxy, self.host.controller.capacity, rate, rates)
+        self.peer_facts.proxy_left(self.host.clock(), proxy, self.host.controller.capacity, rate, rates)
 
     def rates(self):
-        return {i: max(j.rate, UNTOLD) for i, j in self.host.joins.items() if j.rate is not None}
+        return {i: max(j.rate, DEFAULT_RATE) for i, j in self.host.joins.items() if j.rate is not None}
 
     def zones(self):
-        """Proxy -> zone of those that are served here."""
+        """Returns proxy -> zone of the proxies served here."""
         return {i: j.zone for i, j in self.host.joins.items() if j.rate is not None}
 
-    # -- telling and hearing
+    # -- exchange
 
     def exchange(self):
-        """Tells what is known here, and takes in what has been heard since."""
+        """Publishes what is known here, and applies the peers' facts received since the last call."""
         host, now = self.host, self.host.clock()
         holders = {p: str(h.held) for p in host.joins if (h := host.desk.ledger.holder(p)).held}
-        self.teller.tell(
+        self.publisher.publish(
             now,
             host.listed_lines,
             host.controller.standing(),
             host.controller.weighed(now),
             host.controller.capacity,
-            sum(self.rates().values()) + self.hearsay.rates_gone(),
+            sum(self.rates().values()) + self.peer_facts.departed_rates(),
             self.zones(),
             holders,
         )
-        self.rank()
-        news = dict.fromkeys(key for _, lane, key in self.replica.changed if lane == SERVERS)
-        news.update(dict.fromkeys(s for s in host.listed_lines if s not in self.listed))
+        self.raise_epoch()
+        news = dict.fromkeys(key for _, lane, key in self.replica.changed if lane == SERVER_LANE)
+        news.update(dict.fromkeys(s for s in host.listed_lines if s not in self.known_servers))
         self.replica.changed.clear()
-        self.listed = dict.fromkeys(host.listed_lines)
-        lines = self.hearsay.changes(now, host.listed_lines, host.told_at)
-        if lines or self.hearsay.shaded != host.shaded:
-            host.shade(dict(self.hearsay.shaded), lines)
-        host.learnt(self.hearsay.weights(now, [s for s in news if s in host.listed_lines]))
-        part = self.hearsay.grant(host.controller.capacity, self.rates()) - self.hearsay.taken(now)
-        if part and (part > 0 or host.controller.capacity):
-            host.inherited(part)
-        if now >= self.keep_at:
-            self.keep(now)
-
-    def rank(self):
-        """Goes above every epoch of a former life of this one's that others have heard of and its store has
-        lost, and above the versions that their proxies hold."""
-        ledger, highest = self.host.desk.ledger, self.replica.outranked
+        self.known_servers = dict.fromkeys(host.listed_lines)
+        lines = self.peer_facts.changed_lines(now, host.listed_lines, host.told_at)
+        if lines or self.peer_facts.overrides != host.shaded:
+            host.shade(dict(self.peer_facts.overrides), lines)
+        host.learnt(self.peer_facts.weights(now, [s for s in news if s in host.listed_lines]))
+        change = self.peer_facts.capacity_gained(
+            host.controller.capacity, self.rates()
+        ) - self.peer_facts.capacity_lost(now)
+        if change and (change > 0 or host.controller.capacity):
+            host.inherited(change)
+        if now >= self.save_at:
+            self.save(now)
+
+    def raise_epoch(self):
+        """Moves to an epoch above any that peers have seen of this controller and its store has lost, and so
+        above the versions that its proxies hold."""
+        ledger, highest = self.host.desk.ledger, self.replica.newer_own_epoch
         if highest:
             ledger.outrank(Version(highest + 1, 0))
             self.replica.begin_epoch(epoch_after(max(ledger.epoch, highest), self.me))
-            self.replica.outranked = 0
-            self.host.log.warning("outranked", by="its own former life", epoch=ledger.epoch)
+            self.replica.newer_own_epoch = 0
+            self.host.log.warning("outranked", by="its own epoch before the restart", epoch=ledger.epoch)
 
-    async def run(self, talk=None):
-        """`talk`: what asks and answers the others, where there are any."""
+    async def run(self, exchange_with_peers=None):
+        """`exchange_with_peers` sends digests and answers; None without peers."""
         while True:
             self.exchange()
-            if talk:
-                await talk()
-            await anyio.sleep(self.period / SECOND)
+            if exchange_with_peers:
+                await exchange_with_peers()
+            await anyio.sleep(self.period / SECOND_US)
 
-    def facts_of(self, now, origin):
-        """What is held of a controller's, for an operator."""
-        live = [len(self.replica.lane(origin, number).live()) for number in (SERVERS, PROXIES)]
+    def summary_of(self, now, origin):
+        """What is held of a controller's facts, for the operator's view."""
+        live = [len(self.replica.lane(origin, number).live()) for number in (SERVER_LANE, PROXY_LANE)]
         lag = self.replica.lag(now, origin)
         return {
             "servers": live[0],
--- a/foxstep/peers/notes.py
+++ b/foxstep/peers/notes.py
@@ -1,4 +1,7 @@
-"""The controllers' notes on the wire: one datagram each, msgpack, loopback. What is lost is lost."""
+"""Messages between controllers: one msgpack-encoded UDP datagram each, on loopback, without retransmission.
+
+A datagram is a CRC-32 of its body, then the body: an array that begins with the message's tag.
+"""
 
 from typing import Any
 from zlib import crc32
@@ -7,14 +10,15 @@
 import msgspec
 import structlog
 
-MOST = 4_096  # bytes of a note
-ROOM = 1_200  # of which facts take about so many: what one packet carries anywhere
-SECOND = 1_000_000
-CHECK = 4  # a note begins with a checksum of the rest: what is torn or not ours is dropped
+MAX_DATAGRAM_BYTES = 4_096
+MAX_FACTS_BYTES = 1_200  # approximate size of the facts in one message: fits in one IP packet on any path
+SECOND_US = 1_000_000
+CHECKSUM_BYTES = 4  # datagrams with a wrong checksum are damaged or foreign, and are dropped
 
 
-class Facts(msgspec.Struct, array_like=True, tag="facts"):
-    """What a controller holds of all of them (`replica.digest`) or what another lacks (`replica.lacking`)."""
+class FactsMessage(msgspec.Struct, array_like=True, tag="facts"):
+    """Anti-entropy: a digest of the sender's replica (`Replica.digest`), or changes that the receiver lacks
+    (`Replica.changes_for`)."""
 
     site: str
     sender: int
@@ -22,19 +26,25 @@
     changes: list[tuple[int, int, int, int, int, int | None, int | None, list[tuple[str, Any, int, int]]]]
 
 
-class Note(msgspec.Struct, array_like=True, tag="note"):
+class MembershipMessage(msgspec.Struct, array_like=True, tag="note"):
+    """A ping, an ack or a request to ping; `updates` are (controller, state, incarnation, reported by)."""
+
     site: str
     sender: int
     incarnation: int
-    load: int
+    proxy_count: int
     verb: str
     number: int
     target: int | None
-    news: list[tuple[int, str, int, int]]
+    updates: list[tuple[int, str, int, int]]
 
 
 class Notes:
-    """Sends and hears one controller's notes. `lose`: the part of them that a drill has lost on the way."""
+    """Sends and receives one controller's messages.
+
+    `proxy_count` returns the number of proxies served here. `drop_ratio` is the fraction of outgoing messages
+    that a drill discards. `is_valid_fact(lane, key, value)` checks received facts.
+    """
 
     def __init__(
         self,
@@ -42,116 +52,130 @@
         membership,
         socket,
         clock,
-        load,
-        lose=0.0,
+        proxy_count,
+        drop_ratio=0.0,
         replica=None,
-        sound=lambda lane, key, value: True,
+        is_valid_fact=lambda lane, key, value: True,
     ):
-        self.replica, self.sound, self.facts_bytes, self.turn, self.odd = replica, sound, 0, 0, 0
-        self.site_name, self.membership, self.socket, self.clock = site_name, membership, socket, clock
-        self.load, self.lose, self.heard, self.sent, self.bytes = load, lose, 0, 0, 0
+        self.replica = replica
+        self.is_valid_fact = is_valid_fact
+        self.facts_bytes = 0
+        self.digests_sent = 0
+        self.invalid_messages = 0
+        self.site_name = site_name
+        self.membership = membership
+        self.socket = socket
+        self.clock = clock
+        self.proxy_count = proxy_count
+        self.drop_ratio = drop_ratio
+        self.received, self.sent, self.bytes = 0, 0, 0
         self.log = structlog.get_logger("foxstep.peers")
-        self.lock, self.writing = anyio.Lock(), anyio.Lock()
-        self.decoder = msgspec.msgpack.Decoder(Note | Facts)
+        self.send_lock, self.write_lock = anyio.Lock(), anyio.Lock()
+        self.decoder = msgspec.msgpack.Decoder(MembershipMessage | FactsMessage)
 
     async def hear(self):
         async for data, _ in self.socket:
-            body = data[CHECK:]
+            body = data[CHECKSUM_BYTES:]
             try:
-                if len(data) > MOST or crc32(body) != int.from_bytes(data[:CHECK], "big"):
+                if len(data) > MAX_DATAGRAM_BYTES or crc32(body) != int.from_bytes(
+                    data[:CHECKSUM_BYTES], "big"
+                ):
                     continue
-                note = self.decoder.decode(body)
+                message = self.decoder.decode(body)
             except msgspec.DecodeError:
                 continue
-            if note.site != self.site_name:
+            if message.site != self.site_name:
                 continue
-            if isinstance(note, Facts):
-                await self.take_facts(note)
+            if isinstance(message, FactsMessage):
+                await self.handle_facts(message)
             else:
-                self.heard += 1
-                self.membership.heard(
+                self.received += 1
+                self.membership.receive(
                     self.clock(),
-                    note.sender,
-                    note.verb,
-                    note.number,
-                    note.news,
-                    note.target,
-                    note.incarnation,
-                    note.load,
+                    message.sender,
+                    message.verb,
+                    message.number,
+                    message.updates,
+                    message.target,
+                    message.incarnation,
+                    message.proxy_count,
                 )
                 await self.send_due()
 
     async def send_due(self):
-        async with self.lock:
-            while (note := self.membership.next_note(self.clock())) is not None:
-                await self.send(*note)
+        async with self.send_lock:
+            while (message := self.membership.next_message(self.clock())) is not None:
+                await self.send(*message)
 
-    async def send(self, verb, to, number, target, news):
-        note = Note(
+    async def send(self, verb, to, number, target, updates):
+        message = MembershipMessage(
             self.site_name,
             self.membership.me,
             self.membership.incarnation,
-            self.load(),
+            self.proxy_count(),
             verb,
             number,
             target,
-            news,
+            updates,
         )
-        self.bytes += await self.write(to, note)
+        self.bytes += await self.write(to, message)
 
-    async def write(self, to, note):
-        """Sends it, once; answers its bytes."""
+    async def write(self, to, message):
+        """Sends a message once; returns its size in bytes."""
         members, me = self.membership.members, self.membership.me
-        body = msgspec.msgpack.encode(note)
+        body = msgspec.msgpack.encode(message)
         self.sent += 1
-        if crc32(f"{me} lost {self.sent}".encode()) / 2**32 < self.lose:
-            return len(body) + CHECK
+        if crc32(f"{me} lost {self.sent}".encode()) / 2**32 < self.drop_ratio:
+            return len(body) + CHECKSUM_BYTES
         host, _, port = members[to].address.rpartition(":")
         try:
-            async with self.writing:
-                await self.socket.sendto(crc32(body).to_bytes(CHECK, "big") + body, host, int(port))
+            async with self.write_lock:
+                await self.socket.sendto(crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body, host, int(port))
         except OSError:
-            pass  # nobody listens there: as good as lost
-        return len(body) + CHECK
+            pass  # nothing listens on that port; same as a lost datagram
+        return len(body) + CHECKSUM_BYTES
 
-    async def take_facts(self, note):
+    async def handle_facts(self, message):
         now = self.clock()
         known = {*self.membership.members, self.membership.me}
-        named = {change[0] for change in note.changes} | {one[0] for one in note.digest}
-        told = ((change[1], key, value) for change in note.changes for key, value, _, _ in change[7])
-        if not named <= known or not all(self.sound(*fact) for fact in told):
-            self.odd += 1
+        named = {change[0] for change in message.changes} | {entry[0] for entry in message.digest}
+        facts = ((change[1], key, value) for change in message.changes for key, value, _, _ in change[7])
+        if not named <= known or not all(self.is_valid_fact(*fact) for fact in facts):
+            self.invalid_messages += 1
             return
-        if note.changes:
-            self.replica.answered(now, note.changes)
-        if note.digest and note.sender in self.membership.members:
-            self.replica.asked(now, note.sender, note.digest)
+        if message.changes:
+            self.replica.answered(now, message.changes)
+        if message.digest and message.sender in self.membership.members:
+            self.replica.asked(now, message.sender, message.digest)
             await self.answer_facts()
 
     async def answer_facts(self):
-        while (answer := self.replica.next_answer(self.clock(), ROOM)) is not None:
+        """Sends the changes that peers lack, as far as the byte budget allows."""
+        while (answer := self.replica.next_answer(self.clock(), MAX_FACTS_BYTES)) is not None:
             to, changes = answer
-            self.facts_bytes += await self.write(to, Facts(self.site_name, self.membership.me, [], changes))
+            self.facts_bytes += await self.write(
+                to, FactsMessage(self.site_name, self.membership.me, [], changes)
+            )
 
     async def ask_facts(self):
-        """Tells one other, the next in turn, what is held of all: whoever lives answers what is lacking."""
+        """Sends this replica's digest to one live peer, round robin; it answers with what is lacking here."""
         others = [i for i in self.membership.alive() if i != self.membership.me]
         if others:
-            self.turn += 1
-            to, digest = others[self.turn % len(others)], self.replica.digest(self.clock())
-            note = Facts(self.site_name, self.membership.me, digest, [])
-            self.facts_bytes += await self.write(to, note)
+            self.digests_sent += 1
+            to, digest = others[self.digests_sent % len(others)], self.replica.digest(self.clock())
+            message = FactsMessage(self.site_name, self.membership.me, digest, [])
+            self.facts_bytes += await self.write(to, message)
 
-    async def tick(self):
-        """Looks a tenth of a period ahead, and tells of what has changed."""
+    async def run_timer(self):
+        """Ten times a period, sends what is due and logs state changes of peers."""
         while True:
             await self.send_due()
             while self.membership.changes:
                 _, ident, state = self.membership.changes.popleft()
                 self.log.warning("peer", controller=ident, state=state, alive=self.membership.alive())
-            await anyio.sleep(self.membership.period / SECOND / 10)
+            await anyio.sleep(self.membership.period / SECOND_US / 10)
 
     async def run(self):
         async with self.socket, anyio.create_task_group() as group:
             group.start_soon(self.hear)
-            group.start_soon(self.tick)
+            group.start_soon(self.run_timer)
--- a/foxstep/peers/replica.py
+++ b/foxstep/peers/replica.py
@@ -1,94 +1,115 @@
-"""What each controller tells of itself, copied to all others by notes that may be lost. No I/O, no clock.
-
-Reconciliation after Scuttlebutt (van Renesse, Dumitriu, Gough and Thomas, 2008): each controller writes facts
-(key -> value) under its own number, every write with the next count; a digest says up to which count each
-controller's facts are known, and the answer brings what is above it, oldest first, as far as the budget
-goes. A fact that is written again leaves its old count, so what is behind costs no more than what has
-changed. Facts go in lanes, each with counts of its own, so that much of one kind delays nothing of another.
-
-Counts are of an epoch; one that starts anew begins a later one, and its older facts are dropped when the
-first of the new come. A checksum of all facts at a count finds copies that differ though the counts agree.
+"""Replicated map of facts: each controller's facts, copied to all others by lossy messages. No I/O, no clock.
+
+The anti-entropy protocol follows Scuttlebutt (van Renesse, Dumitriu, Gough and Thomas, 2008). Each controller
+writes facts (key -> value) under its own number, and each write has the next count, a sequence number. A
+digest states up to which count the facts of each controller are known; the answer brings the facts above it,
+oldest first, as far as the byte budget allows. A fact that is written again gives up its old count, so a peer
+that is behind costs no more than what has changed. Facts are kept in lanes, each with counts of its own, so
+that much traffic in one lane delays none in another.
+
+Counts belong to an epoch. A controller that restarts begins a later epoch, and its older facts are dropped
+when the first of the new epoch arrive. A checksum over all facts of a lane detects copies that differ
+although their counts agree.
 """
 
 from hashlib import blake2b
 
 import msgspec
 
-FORMER = -1  # the number under which this one's former life is held, for itself alone
-DEAD_MOST = 64  # removed facts that are kept to be told, at least; else as many as there are live ones
-WAITING_MOST = 64  # answers that wait for the budget; beyond, the oldest is dropped: its asker asks again
-FACTS_MOST = 50_000  # of one controller's lane: nobody makes another hold more
-BURST = 1.0  # seconds of the budget that may go out at one time
+PREVIOUS_PROCESS = -1  # local number of the facts from before this controller's restart; never sent
+MIN_TOMBSTONES = 64  # removed facts kept for peers that lack the removal; more if there are more live facts
+MAX_PENDING_ANSWERS = 64  # beyond it the oldest is dropped: the peer will send its digest again
+MAX_FACTS_PER_LANE = 50_000  # of one controller, so that no peer can make another hold more
+BURST_S = 1.0  # seconds' worth of the byte budget that may be sent at once
 
 
 class Fact:
+    """`value` is None for a removed fact (a tombstone). `count` is the sequence number of its write, `at` the
+    time at which it held, in microseconds on this controller's clock."""
+
     __slots__ = ("value", "count", "at")
 
     def __init__(self, value, count, at):
-        self.value, self.count, self.at = value, count, at  # None: removed; `at`: when it was so, this clock
+        self.value, self.count, self.at = value, count, at
 
 
 def check(key, fact):
-    """Eight bytes of a fact, to be added up over a lane in any order."""
+    """Returns 56 bits of a fact, to be combined over a lane by XOR in any order."""
     data = msgspec.msgpack.encode((key, fact.count, fact.value))
     return int.from_bytes(blake2b(data, digest_size=7).digest(), "big")
 
 
 class Lane:
-    """One controller's facts of a kind, in order of their counts."""
+    """One controller's facts of one kind, in order of their counts.
+
+    All facts up to `top` are known. Tombstones up to `floor` have been dropped. `checksum` covers live facts.
+    """
 
     def __init__(self, epoch=0):
-        self.epoch, self.top, self.floor, self.sum, self.dead = epoch, 0, 0, 0, 0
-        self.facts, self.confirmed = {}, None  # when its controller said last that all of it stands
-        self.mixed = False  # facts above the top came early: they are out of order
+        self.epoch = epoch
+        self.top = 0
+        self.floor = 0
+        self.checksum = 0
+        self.tombstones = 0
+        self.facts = {}
+        self.confirmed_at = None  # when its controller last stated that all of it is current
+        self.is_unsorted = False  # facts above `top` have arrived early, so `facts` is not in order
 
     def take(self, key, fact):
         known = self.facts.pop(key, None)
         if known is not None and known.value is not None:
-            self.sum ^= check(key, known)
-        self.dead -= known is not None and known.value is None
+            self.checksum ^= check(key, known)
+        self.tombstones -= known is not None and known.value is None
         self.facts[key] = fact
         if fact.value is None:
-            self.dead += 1
-            self.bury()
+            self.tombstones += 1
+            self.drop_old_tombstones()
         else:
-            self.sum ^= check(key, fact)
+            self.checksum ^= check(key, fact)
 
-    def bury(self):
-        """Forgets the oldest removals: whoever has not heard of them by then is sent the lane whole."""
-        while self.dead > max(DEAD_MOST, len(self.facts) // 2):
+    def drop_old_tombstones(self):
+        """Drops the oldest tombstones: a peer that has not seen them by then is sent the whole lane."""
+        while self.tombstones > max(MIN_TOMBSTONES, len(self.facts) // 2):
             key = next(k for k, f in self.facts.items() if f.value is None)
             self.floor = max(self.floor, self.facts.pop(key).count)
-            self.dead -= 1
+            self.tombstones -= 1
 
-    def sort(self):
-        """Puts facts back into the order of their counts, once none is above the top."""
-        if self.mixed and all(fact.count <= self.top for fact in self.facts.values()):
-            self.facts = dict(sorted(self.facts.items(), key=lambda one: one[1].count))
-            self.mixed = False
+    def sort_if_complete(self):
+        """Restores the order of counts once no fact is above `top`."""
+        if self.is_unsorted and all(fact.count <= self.top for fact in self.facts.values()):
+            self.facts = dict(sorted(self.facts.items(), key=lambda entry: entry[1].count))
+            self.is_unsorted = False
 
     def live(self):
         return {key: fact for key, fact in self.facts.items() if fact.value is not None}
 
 
 class Replica:
-    """`lanes`: how many each controller has. `per_s`: bytes a second that answers may take. Keys are text,
-    values whatever msgpack takes; ages go over the wire, never times: clocks differ."""
-
-    def __init__(self, me, epoch, lanes, per_s, now):
-        self.me, self.lanes, self.per_s = me, lanes, per_s
-        self.of = {(me, lane): Lane(epoch) for lane in range(lanes)}
-        self.budget, self.filled_at = per_s * BURST, now
-        self.waiting, self.changed = [], {}  # (to, digest) to be answered; (controller, lane, key) in order
-        self.outranked = 0  # an epoch of mine that others have heard and I never said
+    """One controller's own facts and its copies of all others'.
+
+    `lane_count` is the number of lanes of each controller, `bytes_per_s` the budget for answers. Keys are
+    text, values anything that msgpack can encode. Messages carry ages instead of times, because the clocks of
+    controllers differ.
+    """
+
+    def __init__(self, me, epoch, lane_count, bytes_per_s, now):
+        self.me = me
+        self.lanes = lane_count
+        self.bytes_per_s = bytes_per_s
+        self.of = {(me, lane): Lane(epoch) for lane in range(lane_count)}
+        self.budget_bytes = bytes_per_s * BURST_S
+        self.budget_updated_at = now
+        self.waiting = []  # (receiver, its digest)
+        self.changed = {}  # (controller, lane, key) of changed facts, as an ordered set
+        self.newer_own_epoch = 0  # an epoch of this controller that peers know and it has never used itself
 
     def lane(self, origin, number):
         return self.of.setdefault((origin, number), Lane(-1))
 
-    # -- what this controller tells
+    # -- own facts
 
     def put(self, now, lane, key, value):
-        """A fact of mine as of now; None removes it. Answers whether that is news."""
+        """Writes an own fact, or removes it if `value` is None. Returns whether anything has changed."""
         mine = self.of[self.me, lane]
         known = mine.facts.get(key)
         if (known.value if known else None) == value:
@@ -98,25 +119,28 @@
         return True
 
     def confirm(self, now):
-        """All that I have put stands now."""
+        """States that all own facts are current."""
         for lane in range(self.lanes):
-            self.of[self.me, lane].confirmed = now
+            self.of[self.me, lane].confirmed_at = now
 
     def begin_epoch(self, epoch):
-        """All of my facts anew, under a later epoch. Guards against a controller that comes back from an old
-        store with counts that others have seen with other facts."""
+        """Writes all own facts again under a later epoch.
+
+        Prevents counts from being used twice by a controller that restarts from an old store, after peers
+        have seen them with other facts.
+        """
         for lane in range(self.lanes):
             old, new = self.of[self.me, lane], Lane(epoch)
-            new.confirmed = old.confirmed
+            new.confirmed_at = old.confirmed_at
             for key, fact in old.live().items():
                 new.top += 1
                 new.take(key, Fact(fact.value, new.top, fact.at))
             self.of[self.me, lane] = new
 
-    # -- what goes out and comes in
+    # -- anti-entropy
 
     def digest(self, now):
-        """[(controller, lane, epoch, top, floor, sum, microseconds since it was confirmed or None)]"""
+        """[(controller, lane, epoch, top, floor, checksum, microseconds since it was confirmed or None)]"""
         return [
             (
                 origin,
@@ -124,90 +148,105 @@
                 lane.epoch,
                 lane.top,
                 lane.floor,
-                lane.sum,
-                None if lane.confirmed is None else max(0, now - lane.confirmed),
+                lane.checksum,
+                None if lane.confirmed_at is None else max(0, now - lane.confirmed_at),
             )
             for (origin, number), lane in self.of.items()
-            if origin != FORMER
+            if origin != PREVIOUS_PROCESS
         ]
 
     def asked(self, now, sender, digest):
-        """Another's digest came: it is to be answered with what it lacks."""
-        told = {one[:2]: one[2:6] for one in digest}
-        for origin, number, epoch, top, _, total, age in digest:
+        """Queues an answer with what the sender lacks."""
+        known_there = {entry[:2]: entry[2:6] for entry in digest}
+        for origin, number, epoch, top, _, checksum, age in digest:
             if origin == self.me:
                 mine = self.of.get((self.me, number))
                 if mine and (epoch, top) > (mine.epoch, mine.top):
-                    self.outranked = max(self.outranked, epoch)
+                    self.newer_own_epoch = max(self.newer_own_epoch, epoch)
                 continue
             lane = self.of.get((origin, number))
-            # Its word that all stands holds for my copy only where mine is the same.
-            if lane and age is not None and (lane.epoch, lane.top, lane.sum) == (epoch, top, total):
-                lane.confirmed = max(lane.confirmed or 0, now - age)
-        self.waiting = [(to, those) for to, those in self.waiting if to != sender]
-        self.waiting = [*self.waiting, (sender, told)][-WAITING_MOST:]
-
-    def next_answer(self, now, room):
-        """(to, changes) that the budget lets go now, of about `room` bytes at most, or None."""
-        self.budget = min(self.per_s * BURST, self.budget + (now - self.filled_at) / 1e6 * self.per_s)
-        self.filled_at = now
-        while self.waiting and self.budget >= room:
-            to, told = self.waiting.pop(0)
-            changes, size = self.lacking(now, to, told, room)
+            # The sender's confirmation applies to the copy here only if both copies are the same.
+            if lane and age is not None and (lane.epoch, lane.top, lane.checksum) == (epoch, top, checksum):
+                lane.confirmed_at = max(lane.confirmed_at or 0, now - age)
+        self.waiting = [(to, known) for to, known in self.waiting if to != sender]
+        self.waiting = [*self.waiting, (sender, known_there)][-MAX_PENDING_ANSWERS:]
+
+    def next_answer(self, now, max_bytes):
+        """Returns (receiver, changes) of at most about `max_bytes` that the budget allows now, or None."""
+        self.budget_bytes = min(
+            self.bytes_per_s * BURST_S,
+            self.budget_bytes + (now - self.budget_updated_at) / 1e6 * self.bytes_per_s,
+        )
+        self.budget_updated_at = now
+        while self.waiting and self.budget_bytes >= max_bytes:
+            to, known_there = self.waiting.pop(0)
+            changes, size = self.changes_for(now, to, known_there, max_bytes)
             if changes:
-                self.budget -= size
-                # The rest follows as if this arrived; where it does not, what follows on it is not taken.
+                self.budget_bytes -= size
+                # The next answer assumes that this one arrives. If it is lost, the receiver does not accept
+                # the next one as a continuation.
                 for origin, number, epoch, _, upto, _, _, _ in changes:
                     lane = self.of[origin, number]
-                    told[origin, number] = (epoch, upto, lane.floor, lane.sum)
-                self.waiting.append((to, told))
+                    known_there[origin, number] = (epoch, upto, lane.floor, lane.checksum)
+                self.waiting.append((to, known_there))
                 return to, changes
         return None
 
-    def lacking(self, now, to, told, room):
-        """What one that told so much lacks: [(controller, lane, epoch, after, upto, floor, age, facts)], and
-        its bytes; with a floor it replaces all. Mine come first, then those of which it lacks most."""
+    def changes_for(self, now, to, known_there, max_bytes):
+        """Returns what a receiver with that digest lacks, and its size in bytes.
+
+        Changes are [(controller, lane, epoch, after, upto, floor, age, facts)]; with a floor they replace the
+        whole lane. Own facts come first, then the copies that are most behind.
+        """
         behind = []
         for (origin, number), lane in self.of.items():
-            epoch, top, floor, total = told.get((origin, number), (-1, 0, 0, 0))
-            if origin in (to, FORMER) or lane.epoch < epoch or (lane.epoch == epoch and lane.top < top):
+            epoch, top, floor, checksum = known_there.get((origin, number), (-1, 0, 0, 0))
+            if (
+                origin in (to, PREVIOUS_PROCESS)
+                or lane.epoch < epoch
+                or (lane.epoch == epoch and lane.top < top)
+            ):
                 continue
-            # One whose copy ends below what is forgotten here may hold facts that were removed since, unless
-            # it began after that. Of copies that differ only their controller's own counts.
-            anew = (
+            # A copy that ends below the dropped tombstones may hold facts that were removed since, unless it
+            # was begun after that. Copies with equal counts and different checksums are replaced only by the
+            # controller whose facts they are.
+            replace_all = (
                 lane.epoch > epoch
                 or max(top, floor) < lane.floor
-                or (top == lane.top and total != lane.sum and origin == self.me)
+                or (top == lane.top and checksum != lane.checksum and origin == self.me)
             )
-            after = 0 if anew else top
-            if anew or lane.top > after:
-                behind.append((number, origin != self.me, after - lane.top, origin, after, anew, lane))
-        made, size = [], 0
-        for number, _, _, origin, after, anew, lane in sorted(behind, key=lambda b: b[:4]):
+            after = 0 if replace_all else top
+            if replace_all or lane.top > after:
+                behind.append((number, origin != self.me, after - lane.top, origin, after, replace_all, lane))
+        changes, size = [], 0
+        for number, _, _, origin, after, replace_all, lane in sorted(behind, key=lambda entry: entry[:4]):
             facts, upto = [], after
-            for key, fact in self.above(lane, after):
-                one = (key, fact.value, fact.count, max(0, now - fact.at))
-                more = len(msgspec.msgpack.encode(one))
-                if size + more > room:
+            for key, fact in self.facts_above(lane, after):
+                entry = (key, fact.value, fact.count, max(0, now - fact.at))
+                entry_size = len(msgspec.msgpack.encode(entry))
+                if size + entry_size > max_bytes:
                     break
-                facts.append(one)
-                size, upto = size + more, fact.count
+                facts.append(entry)
+                size, upto = size + entry_size, fact.count
             else:
                 upto = lane.top
             if facts or upto == lane.top:
-                age = None if lane.confirmed is None or upto < lane.top else max(0, now - lane.confirmed)
-                floor = lane.floor if anew else None
-                made.append((origin, number, lane.epoch, after, upto, floor, age, facts))
-                size += 24
+                age = (
+                    None if lane.confirmed_at is None or upto < lane.top else max(0, now - lane.confirmed_at)
+                )
+                floor = lane.floor if replace_all else None
+                changes.append((origin, number, lane.epoch, after, upto, floor, age, facts))
+                size += 24  # the other fields of the change
             if upto < lane.top:
                 break
-        return made, size
+        return changes, size
 
-    def above(self, lane, after):
-        """Facts of a lane above a count, lowest first; only as much is looked at as there is."""
-        if lane.mixed:
+    def facts_above(self, lane, after):
+        """Returns the facts of a lane above a count, lowest first; visits no more facts than these unless the
+        lane is unsorted."""
+        if lane.is_unsorted:
             found = [(key, fact) for key, fact in lane.facts.items() if after < fact.count <= lane.top]
-            return sorted(found, key=lambda one: one[1].count)
+            return sorted(found, key=lambda entry: entry[1].count)
         found = []
         for key in reversed(lane.facts):
             if lane.facts[key].count <= after:
@@ -216,7 +255,7 @@
         return [(key, lane.facts[key]) for key in reversed(found)]
 
     def answered(self, now, changes):
-        """What I lacked, from whoever had it. Changes that do not follow on what is known change nothing."""
+        """Applies an answer. Changes that build on an epoch not known here are ignored."""
         for origin, number, epoch, after, upto, floor, age, facts in changes:
             lane = self.of.get((origin, number))
             if origin == self.me or not 0 <= number < self.lanes or (lane and epoch < lane.epoch):
@@ -227,30 +266,32 @@
                 lane = self.of[origin, number] = Lane(epoch)
                 lane.floor = floor
             elif lane is None or epoch > lane.epoch:
-                continue  # what it builds on was lost
-            # What comes after something lost is of use already; the top stays, what is between is asked for.
-            early = after > lane.top
-            for key, value, count, old in facts:
+                continue  # the message that began the epoch was lost
+            # Facts after a gap are applied at once. `top` stays, so that the gap is requested again.
+            has_gap = after > lane.top
+            for key, value, count, fact_age in facts:
                 known = lane.facts.get(key)
-                if count > lane.top and (known.count < count if known else len(lane.facts) < FACTS_MOST):
-                    lane.take(key, Fact(value, count, now - old))
+                if count > lane.top and (
+                    known.count < count if known else len(lane.facts) < MAX_FACTS_PER_LANE
+                ):
+                    lane.take(key, Fact(value, count, now - fact_age))
                     self.changed[origin, number, key] = None
-            lane.mixed = lane.mixed or early
-            if upto >= lane.top and not early:
+            lane.is_unsorted = lane.is_unsorted or has_gap
+            if upto >= lane.top and not has_gap:
                 lane.top = upto
-                lane.sort()
+                lane.sort_if_complete()
                 if age is not None:
-                    lane.confirmed = max(lane.confirmed or 0, now - age)
+                    lane.confirmed_at = max(lane.confirmed_at or 0, now - age)
 
     # -- what is known
 
-    def told(self, number):
-        """(controller, lane) of all others in a lane, in order of the controllers' numbers."""
+    def peer_lanes(self, number):
+        """Returns (controller, lane) of all other controllers for one lane number, by controller number."""
         return [
             (origin, self.of[origin, n]) for origin, n in sorted(self.of) if n == number and origin != self.me
         ]
 
     def lag(self, now, origin):
-        """Microseconds since all that is held of a controller was confirmed, or None."""
-        ages = [lane.confirmed for (o, _), lane in self.of.items() if o == origin]
+        """Microseconds since all facts held of a controller were confirmed, or None."""
+        ages = [lane.confirmed_at for (o, _), lane in self.of.items() if o == origin]
         return None if not ages or None in ages else now - min(ages)
--- a/foxstep/peers/sharing.py
+++ b/foxstep/peers/sharing.py
@@ -1,63 +1,64 @@
-"""One controller's part among its peers: notes, and proxies that go home. Hosts the decisions beside it."""
+"""Hosts one controller's membership, fact exchange and redirects of proxies among its peers."""
 
 import anyio
 
 from foxstep.peers.bounds import heal_bound
-from foxstep.peers.learnt import sound
+from foxstep.peers.facts import is_valid_fact
 from foxstep.peers.membership import GONE, Membership
 from foxstep.peers.notes import Notes
-from foxstep.peers.place import Homing
+from foxstep.peers.place import RedirectScheduler
 
-SECOND = 1_000_000
-PERIODS = 8  # periods of pings in the grace: one that dies is found out well before a drain is missed
+SECOND_US = 1_000_000
+PERIODS_PER_GRACE = 8  # ping periods: a failure is detected well before the grace for a drain has passed
 
 
 class Sharing:
-    """`peers`: number -> (address for notes, address for proxies, zone) of all other controllers."""
+    """`peers` maps the numbers of all other controllers to (address for messages, address for proxies,
+    zone). `drop_ratio` is the fraction of messages that a drill discards."""
 
-    def __init__(self, host, learning, site_name, me, peers, socket, lose=0.0):
-        self.host, self.learning, self.peers = host, learning, peers
-        period = max(1, host.site["grace"] // PERIODS)
+    def __init__(self, host, fact_exchange, site_name, me, peers, socket, drop_ratio=0.0):
+        self.host = host
+        self.fact_exchange = fact_exchange
+        self.peers = peers
+        period = max(1, host.site["grace"] // PERIODS_PER_GRACE)
         self.membership = Membership(
-            me, {i: told[0] for i, told in peers.items()}, host.epoch, host.clock(), period, host.seed
+            me, {i: peer[0] for i, peer in peers.items()}, host.epoch, host.clock(), period, host.seed
         )
-        zones = {me: host.site["zone"], **{i: told[2] for i, told in peers.items()}}
-        cost = host.site["head"] + 1 + host.site["standing"]
-        self.homing = Homing(me, zones, period, cost, host.site["lines_per_s"])
-        learning.period = period
-        self.notes = Notes(
+        zones = {me: host.site["zone"], **{i: peer[2] for i, peer in peers.items()}}
+        table_cost = host.site["head"] + 1 + host.site["standing"]
+        self.homing = RedirectScheduler(me, zones, period, table_cost, host.site["lines_per_s"])
+        fact_exchange.period = period
+        self.transport = Notes(
             site_name,
             self.membership,
             socket,
             host.clock,
             lambda: len(host.joins),
-            lose,
-            learning.replica,
-            sound,
+            drop_ratio,
+            fact_exchange.replica,
+            is_valid_fact,
         )
 
-    # -- proxies
-
-    async def send_home(self):
+    async def redirect_proxies(self):
         while True:
             now, members = self.host.clock(), self.membership.members
             others = {i: (m.up_since, m.heard_at or 0) for i, m in members.items() if m.state != GONE}
-            everyone = {**self.learning.hearsay.everyone(others), **self.learning.zones()}
-            told = self.homing.next_return(now, self.host.at_home_elsewhere(), everyone, others)
-            if told:
-                proxy, home = told
+            all_proxies = {**self.fact_exchange.peer_facts.proxies_of(others), **self.fact_exchange.zones()}
+            redirect = self.homing.next_redirect(now, self.host.at_home_elsewhere(), all_proxies, others)
+            if redirect:
+                proxy, home = redirect
                 self.host.send_home(proxy, self.peers[home][1])
             wait = min(max(self.homing.next_at - now, 1_000), self.membership.period // 4)
-            await anyio.sleep(wait / SECOND)
+            await anyio.sleep(wait / SECOND_US)
 
-    async def talk(self):
-        await self.notes.ask_facts()
-        await self.notes.answer_facts()
+    async def exchange_with_peers(self):
+        await self.transport.ask_facts()
+        await self.transport.answer_facts()
 
     async def leave(self):
-        """Tells the others that this one ends."""
+        """Tells the peers that this controller ends."""
         self.membership.leave()
-        await self.notes.send_due()
+        await self.transport.send_due()
 
     def view(self):
         now = self.host.clock()
@@ -69,25 +70,28 @@
             "draining": self.homing.leaving,
             "proxies": {ident: joined.zone for ident, joined in self.host.joins.items()},
             "notes": {
-                "sent": self.notes.sent,
-                "heard": self.notes.heard,
-                "bytes": self.notes.bytes,
-                "facts_bytes": self.notes.facts_bytes,
-                "odd": self.notes.odd,
+                "sent": self.transport.sent,
+                "heard": self.transport.received,
+                "bytes": self.transport.bytes,
+                "facts_bytes": self.transport.facts_bytes,
+                "odd": self.transport.invalid_messages,
             },
             "peers": self.membership.view(now),
             "away": {
                 p: h for p, h in self.homing.homes.items() if p in self.host.joins and h != self.membership.me
             },
-            "facts": {str(i): self.learning.facts_of(now, i) for i in self.peers},
+            "facts": {str(i): self.fact_exchange.summary_of(now, i) for i in self.peers},
             "heals_within_ms": heal_bound(
-                self.membership.period, len(self.peers), self.homing.spacing, len(self.host.joins)
+                self.membership.period,
+                len(self.peers),
+                self.homing.spacing,
+                len(self.host.joins),
             )
             // 1000,
         }
 
     async def run(self):
         async with anyio.create_task_group() as group:
-            group.start_soon(self.notes.run)
-            group.start_soon(self.send_home)
-            group.start_soon(self.learning.run, self.talk)
+            group.start_soon(self.transport.run)
+            group.start_soon(self.redirect_proxies)
+            group.start_soon(self.fact_exchange.run, self.exchange_with_peers)
