--- a/foxstep/sasp/balancer.py
+++ b/foxstep/sasp/balancer.py
@@ -1,4 +1,7 @@
-"""The other end: a balancer that registers its members and follows the advice. A tool, and a stand-in."""
+"""A SASP client: a load balancer that registers its members and receives their weights.
+
+Used by `foxstep advise`, by drills and in measurements.
+"""
 
 import ipaddress
 
@@ -8,40 +11,47 @@
 from foxstep.sasp import wire
 from foxstep.sasp.wire import Flag, Group, Kind, Member, Message
 
-ANSWER_WITHIN = 5.0
-REDIAL = 0.3  # seconds before dialling again
-MOST_BYTES = 8 << 20
+REPLY_TIMEOUT_S = 5.0
+RECONNECT_DELAY_S = 0.3
+MAX_MESSAGE_BYTES = 8 << 20
 
 
 def member_of(server):
-    """A member of an address such as 127.0.0.1:80 or [::1]:80, over TCP."""
+    """Returns the TCP member of an address such as 127.0.0.1:80 or [::1]:80."""
     host, _, port = server.rpartition(":")
     address = ipaddress.ip_address(host.strip("[]"))
-    packed = wire.MAPPED + address.packed if address.version == 4 else address.packed
+    packed = wire.IPV4_MAPPED + address.packed if address.version == 4 else address.packed
     return Member(6, int(port), packed)
 
 
-class Refused(RuntimeError):
-    """The manager answered with a code that is not success."""
+class RequestRefused(RuntimeError):
+    """The controller replied with a response code other than success."""
 
 
 class Balancer:
-    """`groups`: name -> servers. `on_weights(group)` is called whenever a group's weights have come."""
+    """`groups` maps group names to servers. `on_weights(group)` is called when weights of a group arrive."""
 
     def __init__(
         self, ident, address, groups, push=True, trust=True, changes_only=True, on_weights=lambda group: None
     ):
-        self.ident, self.address, self.push = ident.encode(), address, push
+        self.ident = ident.encode()
+        self.address = address
+        self.push = push
         self.groups = {name: dict.fromkeys(servers) for name, servers in groups.items()}
         self.flags = (Flag.PUSH * push) | (Flag.TRUST * trust) | (Flag.NO_CHANGE * changes_only)
-        self.on_weights, self.weights = on_weights, {}  # group -> {server: (weight, flags)}
-        self.stream, self.number, self.waiting, self.buffer = None, 0, {}, bytearray()
+        self.on_weights = on_weights
+        self.weights = {}  # group -> {server: (weight, flags)}
+        self.stream = None
+        self.message_id = 0
+        self.pending = {}  # message ID -> [event, reply]
+        self.buffer = bytearray()
         self.lock = anyio.Lock()
-        self.interval, self.messages = 1.0, 0
+        self.interval = 1.0  # seconds between two Get Weights requests
+        self.messages = 0
         self.log = structlog.get_logger("foxstep.advise").bind(balancer=ident)
 
     async def run(self):
-        """Follows the advice, on one session after the other, until cancelled. What it holds it keeps."""
+        """Runs one session after the other until cancelled. Weights are kept between sessions."""
         while True:
             try:
                 await self.session()
@@ -51,43 +61,46 @@
                 anyio.BrokenResourceError,
                 anyio.ClosedResourceError,
                 TimeoutError,
-                wire.Malformed,
-                Refused,
+                wire.MalformedMessage,
+                RequestRefused,
             ) as broken:
                 self.log.info("session ended", why=str(broken.exceptions[0])[:120])
-            await anyio.sleep(REDIAL)
+            await anyio.sleep(RECONNECT_DELAY_S)
 
     async def session(self):
         host, _, port = self.address.rpartition(":")
-        with anyio.fail_after(ANSWER_WITHIN):
+        with anyio.fail_after(REPLY_TIMEOUT_S):
             self.stream = await anyio.connect_tcp(host, int(port))
         self.buffer.clear()
-        self.waiting = {}
+        self.pending = {}
         async with self.stream, anyio.create_task_group() as group:
-            group.start_soon(self.read)
-            await self.ask(Message(Kind.SET_BALANCER, 0, balancer=self.ident, health=0x7F, flags=self.flags))
+            group.start_soon(self.receive)
+            await self.request(
+                Message(Kind.SET_LB_STATE_REQUEST, 0, balancer=self.ident, health=0x7F, flags=self.flags)
+            )
             for name in self.groups:
-                await self.bring_up_to_date(name)
+                await self.synchronize_group(name)
             while True:
                 await self.get()
                 await anyio.sleep(3600 if self.push else self.interval)
 
-    async def bring_up_to_date(self, name):
-        """Registers what the manager has not kept from a session before, and takes out what it should not."""
+    async def synchronize_group(self, name):
+        """Registers the servers that the controller has not kept from an earlier session, and deregisters
+        those that are no longer in the group."""
         group = Group(self.ident, name.encode())
-        told = await self.ask(Message(Kind.GET_WEIGHTS, 0, (group,)), refused=None)
-        had = {w.member.server(): w.member for _, weights in told.groups for w in weights}
-        if gone := tuple(m for server, m in had.items() if server not in self.groups[name]):
-            await self.ask(Message(Kind.DEREGISTER, 0, ((group, gone),), Flag.BALANCER))
-        if new := [server for server in self.groups[name] if server not in had]:
-            await self.register([name], new)
+        reply = await self.request(Message(Kind.GET_WEIGHTS_REQUEST, 0, (group,)), error=None)
+        registered = {w.member.server(): w.member for _, weights in reply.groups for w in weights}
+        if removed := tuple(m for server, m in registered.items() if server not in self.groups[name]):
+            await self.request(Message(Kind.DEREGISTRATION_REQUEST, 0, ((group, removed),), Flag.BALANCER))
+        if added := [server for server in self.groups[name] if server not in registered]:
+            await self.register([name], added)
 
     async def register(self, groups, servers):
-        """Raises Refused where the manager does not take them."""
+        """Raises RequestRefused if the controller does not accept them."""
         members = tuple(map(member_of, servers))
-        return await self.ask(
+        return await self.request(
             Message(
-                Kind.REGISTER,
+                Kind.REGISTRATION_REQUEST,
                 0,
                 tuple((Group(self.ident, group.encode()), members) for group in groups),
                 Flag.BALANCER,
@@ -95,7 +108,7 @@
         )
 
     async def add(self, server):
-        """A server more in every group; while no session stands it is only noted."""
+        """Adds a server to every group. Without a session, the next one registers it."""
         for servers in self.groups.values():
             servers[server] = None
         try:
@@ -106,46 +119,51 @@
             anyio.ClosedResourceError,
             TimeoutError,
             AttributeError,
-            Refused,
+            RequestRefused,
         ):
             pass  # the next session registers what is missing
 
     async def get(self):
-        answer = await self.ask(Message(Kind.GET_WEIGHTS, 0, (Group(self.ident, b""),)))
-        self.interval = max(answer.interval, 0.5)
-        self.take(answer.groups)
+        """Requests the weights of all groups."""
+        reply = await self.request(Message(Kind.GET_WEIGHTS_REQUEST, 0, (Group(self.ident, b""),)))
+        self.interval = max(reply.interval, 0.5)
+        self.apply_weights(reply.groups)
 
-    def take(self, groups):
+    def apply_weights(self, groups):
         self.messages += 1
         for group, weights in groups:
             name = group.name.decode()
             self.weights.setdefault(name, {}).update(
-                (told.member.server(), (told.weight, told.flags)) for told in weights
+                (entry.member.server(), (entry.weight, entry.flags)) for entry in weights
             )
             self.on_weights(name)
 
-    async def ask(self, message, refused=Refused):
-        self.number = number = self.number + 1
-        answered = self.waiting[number] = [anyio.Event(), None]
+    async def request(self, message, error=RequestRefused):
+        """Sends a request and returns its reply. Raises `error`, unless it is None, for a code other than
+        success, and TimeoutError after REPLY_TIMEOUT_S."""
+        self.message_id = message_id = self.message_id + 1
+        pending = self.pending[message_id] = [anyio.Event(), None]
         try:
-            with anyio.fail_after(ANSWER_WITHIN):
+            with anyio.fail_after(REPLY_TIMEOUT_S):
                 async with self.lock:
-                    await self.stream.send(wire.write(message._replace(number=number)))
-                await answered[0].wait()
+                    await self.stream.send(wire.write(message._replace(message_id=message_id)))
+                await pending[0].wait()
         finally:
-            self.waiting.pop(number, None)
-        if refused and answered[1].code:
-            raise refused(f"{message.kind.name.lower()}: code 0x{answered[1].code:02x}")
-        return answered[1]
+            self.pending.pop(message_id, None)
+        if error and pending[1].code:
+            raise error(f"{message.kind.name.lower()}: code 0x{pending[1].code:02x}")
+        return pending[1]
 
-    async def read(self):
+    async def receive(self):
         while True:
             self.buffer += await self.stream.receive()
-            while (length := wire.frame_length(self.buffer, MOST_BYTES)) and len(self.buffer) >= length:
+            while (length := wire.frame_length(self.buffer, MAX_MESSAGE_BYTES)) and len(
+                self.buffer
+            ) >= length:
                 message = wire.read(bytes(self.buffer[:length]))
                 del self.buffer[:length]
                 if message.kind == Kind.SEND_WEIGHTS:
-                    self.take(message.groups)
-                elif message.number in self.waiting:
-                    self.waiting[message.number][1] = message
-                    self.waiting[message.number][0].set()
+                    self.apply_weights(message.groups)
+                elif message.message_id in self.pending:
+                    self.pending[message.message_id][1] = message
+                    self.pending[message.message_id][0].set()
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -1,4 +1,8 @@
-"""The SASP front: balancers' sessions over TCP, and members that speak for themselves, for one host."""
+"""The SASP front: TCP sessions of load balancers, and of members that register themselves, for one host.
+
+A controller acts as the Group Workload Manager of RFC 4678. A load balancer that has sent a message on a
+connection gets its weights ("advice") on it, by replies or pushed.
+"""
 
 from contextlib import suppress
 from urllib.parse import quote_from_bytes, unquote_to_bytes
@@ -13,82 +17,97 @@
 from foxstep.tables.desk import ADVICE
 from foxstep.tables.ledger import thousandths
 
-SECOND = 1_000_000
-WRITE_WITHIN = 10.0  # seconds after which a reader that takes nothing is let go
-FIRST_WORD = 10.0  # seconds within which a new connection has to say something
-READ_AT_ONCE = 65_536
-PUSH_MOST = 1_000  # weights in one message that is pushed; more become several
-CLOSED = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, TimeoutError, OSError)
-
-CODES = {
+SECOND_US = 1_000_000
+WRITE_TIMEOUT_S = 10.0  # a peer that reads nothing for so long is disconnected
+HANDSHAKE_TIMEOUT_S = 10.0  # a new connection has to send its first bytes within it
+READ_CHUNK_BYTES = 65_536
+MAX_WEIGHTS_PER_PUSH = 1_000  # further weights go into further messages
+CONNECTION_ERRORS = (
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    anyio.EndOfStream,
+    TimeoutError,
+    OSError,
+)
+
+RESPONSE_CODES = {
     Answer.DONE: Code.SUCCESS,
     Answer.NOT_ACCEPTED: Code.NOT_ACCEPTED,
     Answer.ALREADY: Code.ALREADY_REGISTERED,
-    Answer.TWICE: Code.TWICE_IN_REQUEST,
+    Answer.TWICE: Code.DUPLICATE_IN_REQUEST,
     Answer.NOT_REGISTERED: Code.NOT_REGISTERED,
     Answer.UNKNOWN_GROUP: Code.UNKNOWN_GROUP,
     Answer.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER,
     Answer.NO_CONTACT: Code.NO_CONTACT,
 }
-REPLIES = {
-    Kind.REGISTER: Kind.REGISTERED,
-    Kind.DEREGISTER: Kind.DEREGISTERED,
-    Kind.GET_WEIGHTS: Kind.WEIGHTS,
-    Kind.SET_BALANCER: Kind.BALANCER_SET,
-    Kind.SET_MEMBERS: Kind.MEMBERS_SET,
+REPLY_KINDS = {
+    Kind.REGISTRATION_REQUEST: Kind.REGISTRATION_REPLY,
+    Kind.DEREGISTRATION_REQUEST: Kind.DEREGISTRATION_REPLY,
+    Kind.GET_WEIGHTS_REQUEST: Kind.GET_WEIGHTS_REPLY,
+    Kind.SET_LB_STATE_REQUEST: Kind.SET_LB_STATE_REPLY,
+    Kind.SET_MEMBER_STATE_REQUEST: Kind.SET_MEMBER_STATE_REPLY,
 }
 
 
-def door(name):
-    """Bytes of a peer's as an id: readable where they are, without a blank."""
+def text_id(name):
+    """Returns a peer's bytes as a text ID: percent-encoded where needed, without spaces."""
     return quote_from_bytes(name, safe=":.-_@+=,")
 
 
-def ident_of(balancer):
-    return "sasp:" + door(balancer)
+def balancer_id(balancer):
+    return "sasp:" + text_id(balancer)
 
 
 class Outlet:
-    """One balancer's way out: the host delivers, its connection writes."""
+    """One balancer's changes on their way from the host, which delivers them, to its connection."""
 
     def __init__(self, connection, ident, name):
-        self.connection, self.ident, self.name = connection, ident, name
+        self.connection = connection
+        self.ident = ident
+        self.name = name
         self.holding, self.version, self.ordered_at = None, None, None
-        self.changed = {}  # lines delivered and not yet written: no more than its lines, if it reads slowly
+        # Lines delivered and not yet written. A slow reader holds no more of them than its table has.
+        self.changed = {}
 
     def deliver(self, holding, message):
         self.holding = holding
         self.changed.update(dict.fromkeys(name for _, name in message.lines))
         self.version = message.meant.name() if message.meant else self.version
         self.ordered_at = self.ordered_at or message.first_at
-        self.connection.stirred.set()
+        self.connection.wake_push.set()
 
     def end(self, reason):
-        """Another session has the balancer now; a connection that speaks for nobody is closed."""
+        """Another session has taken the balancer over. A connection without balancers is closed."""
         self.connection.outlets.pop(self.ident, None)
         if not self.connection.outlets:
             self.connection.end(reason)
 
-    def take(self):
-        """(lines to write, what `told` then says to the host); what is delivered later is the next."""
+    def take_changes(self):
+        """Returns (lines to write, version, order time) and resets them; the latter two are passed to
+        `mark_written`."""
         taken = self.changed, self.version, self.ordered_at
         self.changed, self.version, self.ordered_at = {}, None, None
         return taken
 
-    def told(self, version, ordered_at):
-        """So much is with the balancer's socket: SASP has no word for "taken in"."""
+    def mark_written(self, version, ordered_at):
+        """Reports changes as applied once they are written to the socket: SASP has no acknowledgement."""
         if ordered_at:
             self.connection.front.host.applied(self.ident, self, [], [ordered_at], version)
 
 
 class Connection:
-    """One TCP connection. A balancer that has spoken on it is advised through it."""
+    """One TCP connection. Balancers that have sent a message on it get their weights on it."""
 
     def __init__(self, front, stream):
-        self.front, self.stream, self.register = front, stream, front.register
-        self.outlets = {}
-        self.reading, self.lock, self.stirred = wire.OWN, anyio.Lock(), anyio.Event()
-        self.scope, self.reason = anyio.CancelScope(), "closed by the peer"
+        self.front = front
+        self.stream = stream
+        self.register = front.register
+        self.outlets = {}  # balancer ID -> Outlet
+        self.length_convention = wire.OWN
+        self.lock = anyio.Lock()
+        self.wake_push = anyio.Event()
+        self.scope = anyio.CancelScope()
+        self.reason = "closed by the peer"
 
     def end(self, reason):
         self.reason = reason
@@ -99,12 +118,12 @@
             with self.scope:
                 async with anyio.create_task_group() as group:
                     group.start_soon(self.push)
-                    with suppress(*CLOSED):
-                        await self.read()
+                    with suppress(*CONNECTION_ERRORS):
+                        await self.receive()
                     group.cancel_scope.cancel()
-        except* CLOSED as broken:
+        except* CONNECTION_ERRORS as broken:
             self.reason = (
-                f"took nothing for {WRITE_WITHIN:.0f} s"
+                f"read nothing for {WRITE_TIMEOUT_S:.0f} s"
                 if any(isinstance(e, TimeoutError) for e in broken.exceptions)
                 else "broken"
             )
@@ -115,125 +134,137 @@
                     self.register.away(self.front.host.clock(), ident)
                 self.front.host.left(ident, outlet, self.reason)
 
-    async def read(self):
-        buffer, most = bytearray(), self.front.most_bytes
-        with anyio.fail_after(FIRST_WORD):
-            buffer += await self.stream.receive(READ_AT_ONCE)
+    async def receive(self):
+        buffer, max_bytes = bytearray(), self.front.max_message_bytes
+        with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
+            buffer += await self.stream.receive(READ_CHUNK_BYTES)
         while True:
             try:
-                while (length := wire.frame_length(buffer, most)) is not None and len(buffer) >= length:
+                while (length := wire.frame_length(buffer, max_bytes)) is not None and len(buffer) >= length:
                     data = bytes(buffer[:length])
                     del buffer[:length]
-                    await self.heed(data)
-            except wire.OtherVersion as other:
-                self.front.log.warning("other version", why=str(other))
-                return await self.send(Message(Kind.BALANCER_SET, other.number, code=Code.NOT_UNDERSTOOD))
-            except wire.Malformed as malformed:
+                    await self.handle_message(data)
+            except wire.UnsupportedVersion as unsupported:
+                self.front.log.warning("other version", why=str(unsupported))
+                return await self.send(
+                    Message(Kind.SET_LB_STATE_REPLY, unsupported.message_id, code=Code.NOT_UNDERSTOOD)
+                )
+            except wire.MalformedMessage as malformed:
                 self.front.log.warning("malformed", why=str(malformed))
-                return None  # where the next message begins cannot be known
-            buffer += await self.stream.receive(READ_AT_ONCE)
+                return None  # the beginning of the next message cannot be known
+            buffer += await self.stream.receive(READ_CHUNK_BYTES)
 
     async def send(self, message):
         async with self.lock:
-            with anyio.fail_after(WRITE_WITHIN):
-                await self.stream.send(wire.write(message._replace(reading=self.reading)))
+            with anyio.fail_after(WRITE_TIMEOUT_S):
+                await self.stream.send(wire.write(message._replace(length_convention=self.length_convention)))
 
-    # -- what comes in
+    # -- received messages
 
-    async def heed(self, data):
+    async def handle_message(self, data):
         try:
             message = wire.read(data)
-        except wire.Malformed as malformed:
-            # Its frame was sound: it is answered, and the next one is read.
+        except wire.MalformedMessage as malformed:
+            # Its frame was valid, so it can be answered, and the next message be read.
             kind = wire.COMPONENT.unpack_from(data, wire.HEADER_SIZE)[0]
             self.front.log.warning("not understood", why=str(malformed))
-            if kind not in list(REPLIES):
+            if kind not in list(REPLY_KINDS):
                 raise
-            number = wire.HEADER.unpack_from(data)[4]
-            return await self.send(Message(REPLIES[Kind(kind)], number, code=Code.NOT_UNDERSTOOD))
-        if message.kind not in REPLIES:
-            return await self.send(Message(Kind.BALANCER_SET, message.number, code=Code.NOT_UNDERSTOOD))
-        self.reading = message.reading if message.groups else self.reading
-        answers = {
-            Kind.REGISTER: self.registers,
-            Kind.DEREGISTER: self.deregisters,
-            Kind.SET_BALANCER: self.sets_balancer,
-            Kind.SET_MEMBERS: self.sets_members,
+            message_id = wire.HEADER.unpack_from(data)[4]
+            return await self.send(Message(REPLY_KINDS[Kind(kind)], message_id, code=Code.NOT_UNDERSTOOD))
+        if message.kind not in REPLY_KINDS:
+            return await self.send(
+                Message(Kind.SET_LB_STATE_REPLY, message.message_id, code=Code.NOT_UNDERSTOOD)
+            )
+        self.length_convention = message.length_convention if message.groups else self.length_convention
+        handlers = {
+            Kind.REGISTRATION_REQUEST: self.register_members,
+            Kind.DEREGISTRATION_REQUEST: self.deregister_members,
+            Kind.SET_LB_STATE_REQUEST: self.set_balancer_state,
+            Kind.SET_MEMBER_STATE_REQUEST: self.set_member_states,
         }
-        reply = Message(REPLIES[message.kind], message.number)
-        if message.kind == Kind.GET_WEIGHTS:
-            code, groups, asked = self.weights(message)
-            taken = [(outlet, *outlet.take()[1:]) for outlet in asked]
-            await self.send(reply._replace(code=code, interval=self.front.interval, groups=groups))
+        reply = Message(REPLY_KINDS[message.kind], message.message_id)
+        if message.kind == Kind.GET_WEIGHTS_REQUEST:
+            code, groups, outlets = self.requested_weights(message)
+            taken = [(outlet, *outlet.take_changes()[1:]) for outlet in outlets]
+            await self.send(reply._replace(code=code, interval=self.front.poll_interval, groups=groups))
             for outlet, version, ordered_at in taken:
-                outlet.told(version, ordered_at)
+                outlet.mark_written(version, ordered_at)
             return None
-        reply = reply._replace(code=answers[message.kind](message))
-        self.front.read_rolls()
+        reply = reply._replace(code=handlers[message.kind](message))
+        self.front.pass_on_changes()
         return await self.send(reply)
 
-    def speaks(self, name):
-        """A balancer speaks on this connection: an older one of its own is ended, what it had stands."""
+    def attach_balancer(self, name):
+        """Attaches a balancer to this connection and returns the response code.
+
+        An older session of the same balancer is ended; what it has registered stays.
+        """
         if not name:
-            return Code.BALANCER_SIZE
-        ident = ident_of(name)
+            return Code.INVALID_BALANCER_ID_SIZE
+        ident = balancer_id(name)
         if ident in self.outlets:
             return Code.SUCCESS
-        if len(self.outlets) >= self.front.most_balancers:
+        if len(self.outlets) >= self.front.max_balancers:
             return Code.NOT_ACCEPTED
-        code = CODES[self.register.contact(ident)]
+        code = RESPONSE_CODES[self.register.contact(ident)]
         if code == Code.SUCCESS:
             outlet = self.outlets[ident] = Outlet(self, ident, name)
             self.front.take_over(ident, outlet)
         return code
 
-    def of_balancers(self, message):
-        """Lets the balancers that a message names in; answers the first code that is against it."""
-        for group in dict.fromkeys(group.balancer for group, _ in message.groups):
-            if not group:
-                return Code.BALANCER_SIZE
-            if message.flags & Flag.BALANCER and (code := self.speaks(group)):
+    def attach_balancers(self, message):
+        """Attaches the balancers that a message names, if a balancer sent it. Returns the first code other
+        than success, or success."""
+        for balancer in dict.fromkeys(group.balancer for group, _ in message.groups):
+            if not balancer:
+                return Code.INVALID_BALANCER_ID_SIZE
+            if message.flags & Flag.BALANCER and (code := self.attach_balancer(balancer)):
                 return code
         return Code.SUCCESS
 
-    def registers(self, message):
+    def register_members(self, message):
         if any(not group.name for group, _ in message.groups):
-            return Code.GROUP_NAME_SIZE
-        if code := self.of_balancers(message):
+            return Code.INVALID_GROUP_NAME_SIZE
+        if code := self.attach_balancers(message):
             return code
-        return CODES[
+        return RESPONSE_CODES[
             self.register.register(
                 bool(message.flags & Flag.BALANCER),
                 [
-                    (ident_of(group.balancer), door(group.name), [(m.server(), m) for m in members])
+                    (
+                        balancer_id(group.balancer),
+                        text_id(group.name),
+                        [(m.server(), m) for m in members],
+                    )
                     for group, members in message.groups
                 ],
             )
         ]
 
-    def deregisters(self, message):
-        if code := self.of_balancers(message):
+    def deregister_members(self, message):
+        if code := self.attach_balancers(message):
             return code
-        return CODES[
+        return RESPONSE_CODES[
             self.register.deregister(
                 bool(message.flags & Flag.BALANCER),
                 [
-                    (ident_of(group.balancer), door(group.name), [m.server() for m in members])
+                    (balancer_id(group.balancer), text_id(group.name), [m.server() for m in members])
                     for group, members in message.groups
                 ],
             )
         ]
 
-    def sets_members(self, message):
-        if code := self.of_balancers(message):
+    def set_member_states(self, message):
+        if code := self.attach_balancers(message):
             return code
-        return CODES[
+        return RESPONSE_CODES[
             self.register.set_members(
                 bool(message.flags & Flag.BALANCER),
                 [
                     (
-                        ident_of(group.balancer),
-                        door(group.name),
+                        balancer_id(group.balancer),
+                        text_id(group.name),
                         [(s.member.server(), s.state, bool(s.flags & Flag.MEMBER_QUIESCE)) for s in states],
                     )
                     for group, states in message.groups
@@ -241,10 +272,10 @@
             )
         ]
 
-    def sets_balancer(self, message):
-        if code := self.speaks(message.balancer):
+    def set_balancer_state(self, message):
+        if code := self.attach_balancer(message.balancer):
             return code
-        flags, ident = message.flags, ident_of(message.balancer)
+        flags, ident = message.flags, balancer_id(message.balancer)
         answer = self.register.set_balancer(
             ident,
             bool(flags & Flag.PUSH),
@@ -252,24 +283,25 @@
             bool(flags & Flag.NO_CHANGE),
             message.health,
         )
-        self.outlets[ident].connection.stirred.set()
-        return CODES[answer]
+        self.outlets[ident].connection.wake_push.set()
+        return RESPONSE_CODES[answer]
 
-    # -- what goes out
+    # -- sent weights
 
-    def weights(self, message):
-        """(code, groups of weights, whose) that answer a question; one that is asked by a balancer alone."""
-        groups, asked = [], {}
+    def requested_weights(self, message):
+        """Returns (code, groups of weights, outlets of their balancers) for a Get Weights request. Only
+        balancers attached to this connection can request weights."""
+        groups, outlets = [], {}
         for group in message.groups:
             if not group.balancer:
-                return Code.BALANCER_SIZE, (), ()
-            ident = ident_of(group.balancer)
+                return Code.INVALID_BALANCER_ID_SIZE, (), ()
+            ident = balancer_id(group.balancer)
             if ident not in self.outlets:
                 return Code.UNKNOWN_BALANCER, (), ()
-            answer, found = self.register.asked(ident, door(group.name))
+            answer, found = self.register.asked(ident, text_id(group.name))
             if answer is not Answer.DONE:
-                return CODES[answer], (), ()
-            outlet = asked[ident] = self.outlets[ident]
+                return RESPONSE_CODES[answer], (), ()
+            outlet = outlets[ident] = self.outlets[ident]
             groups += [
                 (
                     wire.Group(outlet.name, unquote_to_bytes(name)),
@@ -279,30 +311,31 @@
                 )
                 for name, entries in found.items()
             ]
-        return Code.SUCCESS, tuple(groups), asked.values()
+        return Code.SUCCESS, tuple(groups), outlets.values()
 
     async def push(self):
         while True:
             for outlet in list(self.outlets.values()):
                 balancer = self.register.balancers.get(outlet.ident)
                 if balancer and balancer.push and outlet.changed:
-                    lines, version, ordered_at = outlet.take()
-                    for group, weights in self.front.push_of(outlet, balancer, lines):
-                        # A push is not answered, so its number is free to say when it was ordered.
-                        number = (ordered_at or 0) // 1000 % (1 << 32)
-                        await self.send(Message(Kind.SEND_WEIGHTS, number, ((group, weights),)))
-                    outlet.told(version, ordered_at)
-            with anyio.move_on_after(WRITE_WITHIN):
-                await self.stirred.wait()
-            self.stirred = anyio.Event()
+                    lines, version, ordered_at = outlet.take_changes()
+                    for group, weights in self.front.pushed_weights(outlet, balancer, lines):
+                        # A push has no reply, so its message ID can carry the time of the order, in ms.
+                        message_id = (ordered_at or 0) // 1000 % (1 << 32)
+                        await self.send(Message(Kind.SEND_WEIGHTS, message_id, ((group, weights),)))
+                    outlet.mark_written(version, ordered_at)
+            with anyio.move_on_after(WRITE_TIMEOUT_S):
+                await self.wake_push.wait()
+            self.wake_push = anyio.Event()
 
 
 class SaspFront:
-    """`advice`: the site's settings for it, a plain map (balancers, groups, members, message, keep)."""
+    """`advice` is the plain map of the site's settings for it (balancers, groups, members, message, keep)."""
 
     def __init__(self, host, advice):
         self.host, self.log = host, structlog.get_logger("foxstep.sasp")
-        self.most_balancers, self.most_bytes = advice["balancers"], advice["message"]
+        self.max_balancers = advice["balancers"]
+        self.max_message_bytes = advice["message"]
         self.register = Register(
             advice["balancers"],
             advice["groups"],
@@ -310,9 +343,11 @@
             advice["keep"],
             host.desk.advice.most_lines(),
         )
-        # A balancer that asks has to hear of a drain within the grace: twice in it, as whole seconds allow.
-        self.interval = max(1, host.site["grace"] // (2 * SECOND))
-        self.outlets, self.connections = {}, 0
+        # In seconds. A balancer that polls has to learn of a drain within the grace, so it polls twice in it,
+        # as far as whole seconds allow.
+        self.poll_interval = max(1, host.site["grace"] // (2 * SECOND_US))
+        self.outlets = {}  # balancer ID -> Outlet of its latest session
+        self.connections = 0
 
     def take_over(self, ident, outlet):
         older, self.outlets[ident] = self.outlets.get(ident), outlet
@@ -320,22 +355,22 @@
         if older:
             older.end("a newer session of the same balancer is up")
 
-    def read_rolls(self):
-        """Tells the host of rolls that have changed."""
+    def pass_on_changes(self):
+        """Tells the host which balancers have changed registrations."""
         while (ident := self.register.next_changed()) is not None:
             outlet = self.outlets.get(ident)
             if outlet:
                 self.host.advise(ident, outlet, self.register.roll(ident))
 
     def weight(self, outlet, group, server, entry):
-        """A member's weight as the balancer is to hold it."""
+        """Returns a member's weight entry as the balancer is to have it."""
         held = outlet.holding.lines.get(ADVICE, {}) if outlet.holding else {}
         line = self.host.listed_lines.get(server)
         state, weight = line[4] if line else "gone", held.get(key(group, server), 0)
         if server.endswith(":0"):
-            state = "open" if weight else state  # a whole system: its servers' states are in the weight
+            state = "open" if weight else state  # a whole system: its weight reflects its servers' states
         if state != "open":
-            weight = 0  # whatever still waits in the channel
+            weight = 0  # even if the change of the line still waits in the channel
         warm = weight and self.host.desk.standing.get(server, (0, 0, 1))[2] == 1
         flags = (
             (Flag.CONTACT if state != "gone" else 0)
@@ -345,9 +380,12 @@
         )
         return Weight(entry.shown, entry.state, int(flags), min(thousandths(weight), 0xFFFF) if weight else 0)
 
-    def push_of(self, outlet, balancer, lines):
-        """(group, weights) for each message that tells a balancer of changed lines: these alone where it
-        asked for no more, else all of their groups; so many at most in one."""
+    def pushed_weights(self, outlet, balancer, lines):
+        """Yields (group, weights) for each message that pushes changed lines to a balancer.
+
+        With the No-Change flag these are the changed members only, otherwise all members of their groups. A
+        message has at most MAX_WEIGHTS_PER_PUSH weights.
+        """
         changed = {}
         for name in lines:
             group, server = parts(name)
@@ -355,15 +393,18 @@
                 changed.setdefault(group, {})[server] = None
         for group, servers in changed.items():
             entries = balancer.groups[group]
-            told = [
+            weights = [
                 self.weight(outlet, group, server, entries[server])
                 for server in (servers if balancer.changes_only else entries)
             ]
-            for k in range(0, len(told), PUSH_MOST):
-                yield wire.Group(outlet.name, unquote_to_bytes(group)), tuple(told[k : k + PUSH_MOST])
+            for k in range(0, len(weights), MAX_WEIGHTS_PER_PUSH):
+                yield (
+                    wire.Group(outlet.name, unquote_to_bytes(group)),
+                    tuple(weights[k : k + MAX_WEIGHTS_PER_PUSH]),
+                )
 
     async def handle(self, stream):
-        if self.connections >= 2 * self.most_balancers:
+        if self.connections >= 2 * self.max_balancers:
             self.log.warning("too many connections")
             return await stream.aclose()
         self.connections += 1
@@ -373,14 +414,14 @@
         finally:
             self.connections -= 1
 
-    async def forget(self):
-        """Lets go of balancers that were away for long."""
+    async def forget_expired(self):
+        """Forgets balancers that have been disconnected for longer than the `keep` setting."""
         while True:
-            await anyio.sleep(self.register.keep / SECOND / 4)
+            await anyio.sleep(self.register.keep / SECOND_US / 4)
             while (ident := self.register.next_forgotten(self.host.clock())) is not None:
                 self.log.info("forgotten", balancer=ident)
 
     async def run(self, listener):
         async with anyio.create_task_group() as group:
-            group.start_soon(self.forget)
+            group.start_soon(self.forget_expired)
             await listener.serve(self.handle, group)
