--- a/foxstep/peers/facts.py
+++ b/foxstep/peers/facts.py
@@ -21,7 +21,7 @@
 HALF_LIFE_CYCLES = 60  # the trust in a reported weight halves over this age
 MAX_AGE_CYCLES = 600  # and is zero above this one
 CAPACITY_MAX_AGE_CYCLES = 60  # the same for C, which follows the load
-MAX_HIDDEN_FRACTION = 0.5  # most of the open servers that peers' reports of drains may hide
+MAX_HIDDEN_FRACTION = 0.5  # of the open servers, hidden because of peers' reports of drains
 MAX_DEPARTED_PROXIES = 4096
 START_TOLERANCE_US = 2_000_000  # two lists report the same start differently: clocks and network delays
 
--- a/foxstep/peers/place.py
+++ b/foxstep/peers/place.py
@@ -15,11 +15,11 @@
 from hashlib import blake2b
 from math import ceil
 
-MAX_LOAD_FACTOR = 1.25  # most proxies of one controller, as a multiple of the mean
+MAX_LOAD_FACTOR = 1.25  # limit on the proxies of one controller, as a multiple of the mean
 MIN_ALIVE_PERIODS = 10  # a home must have been alive for so long before proxies are redirected to it
 # A home must have been a proxy's home for so long, and must have been heard of within that time.
 STABLE_HOME_PERIODS = 4
-REDIRECT_CHANNEL_SHARE = 0.25  # most of the channel's line rate that full tables of redirected proxies take
+REDIRECT_CHANNEL_SHARE = 0.25  # of the channel's line rate, used for full tables of redirected proxies
 
 
 def score(controller, proxy):
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -333,7 +333,8 @@
     """`advice` is the plain map of the site's settings for it (balancers, groups, members, message, keep)."""
 
     def __init__(self, host, advice):
-        self.host, self.log = host, structlog.get_logger("foxstep.sasp")
+        self.host = host
+        self.log = structlog.get_logger("foxstep.sasp")
         self.max_balancers = advice["balancers"]
         self.max_message_bytes = advice["message"]
         self.register = Register(
--- a/foxstep/sasp/wire.py
+++ b/foxstep/sasp/wire.py
@@ -145,7 +145,9 @@
     """One message's bytes; `begin` and `end` enclose a component and check its length."""
 
     def __init__(self, data):
-        self.data, self.offset, self.length_convention = data, HEADER_SIZE, None
+        self.data = data
+        self.offset = HEADER_SIZE
+        self.length_convention = None  # not known until a component has nested ones
 
     def unpack(self, form):
         try:
