--- a/foxstep/capture/__init__.py
+++ b/foxstep/capture/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller's decisions were told and what they ordered, kept in columns and played again."""
+"""Capture and replay of the decision module's inputs and orders, stored in Parquet files."""
--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -9,7 +9,7 @@
 import structlog
 
 from foxstep.balance import Controller
-from foxstep.capture.tape import Tape, Taped
+from foxstep.capture.storage import CapturedModule, CaptureWriter
 from foxstep.live.clocks import clock, wall
 from foxstep.live.serving import ServingHost
 from foxstep.operate.service import OperatorService
@@ -46,8 +46,8 @@
     """`make`, with all that the module is told and orders going to a tape in `folder`, added to `tapes`."""
 
     def taped(now, plain, seed):
-        tapes.append(Tape(folder, now, plain, seed))
-        return Taped(make(now, plain, seed), tapes[0])
+        tapes.append(CaptureWriter(folder, now, plain, seed))
+        return CapturedModule(make(now, plain, seed), tapes[0])
 
     return taped
 
