--- a/foxstep/capture/replay.py
+++ b/foxstep/capture/replay.py
@@ -20,8 +20,8 @@
 class Difference:
     """The first order that differs.
 
-    `row`: its row in the capture; `at`: its time in microseconds; `captured` and `replayed`: both lines, None if
-    there is no further order; `inputs`: the last inputs before it, as lines.
+    `row`: its row in the capture; `at`: its time in microseconds; `captured` and `replayed`: both lines, None
+    if there is no further order; `inputs`: the last inputs before it, as lines.
     """
 
     def __init__(self, row, at, captured, replayed, inputs):
--- a/foxstep/operate/__init__.py
+++ b/foxstep/operate/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's gRPC service of a controller, and its client. Messages are JSON by msgspec."""
+"""The gRPC service of a controller for its operators, and a client of it. Messages are encoded as JSON."""
--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -1,4 +1,4 @@
-"""`foxstep.Operator`: what an operator may ask of a running controller. Questions and answers are JSON."""
+"""The gRPC service `foxstep.Operator` of a running controller. Requests and responses are JSON objects."""
 
 import grpc
 import msgspec
@@ -6,30 +6,38 @@
 from foxstep.tables.desk import Unknown
 
 PREFIX = "/foxstep.Operator/"
-INSPECT, PEERS = PREFIX + "Inspect", PREFIX + "Peers"
+INSPECT = PREFIX + "Inspect"
+PEERS = PREFIX + "Peers"
 TABLES = {
     verb: f"{PREFIX}Tables{verb.title()}"
     for verb in ("list", "show", "diff", "pin", "rollback", "unpin", "put", "progress")
 }
-MOST = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 
 class OperatorService(grpc.GenericRpcHandler):
+    """Answers operators' requests to the controller of `host`.
+
+    `sharing` is the coordination with other controllers, None if the controller has no peers. An invalid
+    request is answered with the status INVALID_ARGUMENT and a message of one line.
+    """
+
     def __init__(self, host, sharing=None):
-        self.host, self.sharing = host, sharing
+        self.host = host
+        self.sharing = sharing
         self.methods = {INSPECT: self.inspect, PEERS: self.peers}
         for verb, method in TABLES.items():
             self.methods[method] = getattr(self, f"tables_{verb}")
 
     def service(self, handler_call_details):
-        answer = self.methods.get(handler_call_details.method)
-        if answer is None:
+        handler = self.methods.get(handler_call_details.method)
+        if handler is None:
             return None
 
-        async def handle(request, context):
+        async def handle(body, context):
             try:
-                question = msgspec.json.decode(request, type=dict)
-                return msgspec.json.encode(answer(question))
+                request = msgspec.json.decode(body, type=dict)
+                return msgspec.json.encode(handler(request))
             except (Unknown, msgspec.DecodeError) as error:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             except (KeyError, TypeError) as error:
@@ -37,48 +45,54 @@
 
         return grpc.unary_unary_rpc_method_handler(handle)
 
-    def inspect(self, question):
-        """All that is known, or with "brief" true only estimates and how reports are read."""
-        return self.host.estimates() if question.get("brief") else self.host.view()
+    def inspect(self, request):
+        """The controller's whole state, or with "brief" true only its estimates and the intake of reports."""
+        return self.host.estimates() if request.get("brief") else self.host.view()
 
-    def peers(self, question):
-        """Members and owners; with "drain" true or false, whether this one sends all of its proxies away;
-        with "proxy" and "to", one that is to move."""
+    def peers(self, request):
+        """The members of the group of controllers and the proxies of each.
+
+        "drain" true or false starts or stops redirecting all proxies of this controller to the others;
+        "proxy" and "to" redirect one proxy to the controller with that number. Raises Unknown.
+        """
         if self.sharing is None:
             raise Unknown("this controller was started without peers")
-        if "drain" in question:
-            self.sharing.homing.leaving = bool(question["drain"])
-        if question.get("proxy"):
-            self.move(question["proxy"], int(question["to"]))
+        if "drain" in request:
+            self.sharing.homing.leaving = bool(request["drain"])
+        if request.get("proxy"):
+            self.redirect_proxy(request["proxy"], int(request["to"]))
         return self.sharing.view()
 
-    def move(self, proxy, to):
+    def redirect_proxy(self, proxy, to):
         if to not in self.sharing.peers:
             raise Unknown(f"no controller {to}: expected one of {', '.join(map(str, self.sharing.peers))}")
         if proxy not in self.host.at_home_elsewhere():
-            raise Unknown(f"{proxy!r} is not joined here, or cannot be sent elsewhere")
+            raise Unknown(f"{proxy!r} is not joined here, or does not accept a redirect")
         self.host.send_home(proxy, self.sharing.peers[to][1])
 
-    def zones(self):
+    def proxy_zones(self):
         return {ident: joined.zone for ident, joined in self.host.joins.items()}
 
-    def tables_list(self, question):
-        desk = self.host.desk
+    def tables_list(self, request):
+        """The newest versions (at most "most" of them, 20 by default) and the rollbacks; times are in
+        microseconds on the host's clock."""
+        manager = self.host.desk
         return {
-            "versions": desk.history(min(int(question.get("most", 20)), 1000)),
-            "last_good": str(desk.evidence.last_good(desk.ledger.entries) or ""),
-            "rollbacks": desk.progress(self.zones()),
+            "versions": manager.history(min(int(request.get("most", 20)), 1000)),
+            "last_good": str(manager.evidence.last_good(manager.ledger.entries) or ""),
+            "rollbacks": manager.progress(self.proxy_zones()),
             "now": self.host.clock(),
         }
 
-    def tables_show(self, question):
-        desk = self.host.desk
-        holders = desk.holders(self.zones())
-        if not question.get("proxy"):
-            return {"holders": holders, "behind": desk.ledger.behind()}
-        proxy = question["proxy"]
-        version = desk.find(question["version"]) if question.get("version") else None
-        table = desk.ledger.table(proxy, version)
+    def tables_show(self, request):
+        """What each proxy holds, or the table of "proxy" as of "version" (by default its current one)."""
+        manager = self.host.desk
+        holders = manager.holders(self.proxy_zones())
+        if not request.get("proxy"):
+            return {"holders": holders, "behind": manager.ledger.behind()}
+        proxy = request["proxy"]
+        version = manager.find(request["version"]) if request.get("version") else None
+        table = manager.ledger.table(proxy, version)
         if table is None:
             raise Unknown(f"no table of {proxy!r}" + (f" in {version}" if version else ""))
         return {
@@ -89,58 +103,68 @@
             "lines": dict(table.lines),
         }
 
-    def tables_diff(self, question):
-        return {"changes": self.host.desk.difference(question["old"], question["new"])}
+    def tables_diff(self, request):
+        """The lines that differ between the versions "old" and "new", by proxy."""
+        return {"changes": self.host.desk.difference(request["old"], request["new"])}
 
-    def tables_rollback(self, question, at_once=False):
-        made, bound = self.host.desk.roll_back(
-            self.host.clock(), question["scope"], question["version"], self.zones(), at_once
+    def tables_rollback(self, request, at_once=False):
+        """Moves the proxies in "scope" to "version" in waves, or all `at_once`, and holds them there."""
+        rollback, bound_us = self.host.desk.roll_back(
+            self.host.clock(), request["scope"], request["version"], self.proxy_zones(), at_once
         )
-        return self.ordered(made, bound)
+        return self.rollback_response(rollback, bound_us)
 
-    def tables_pin(self, question):
-        return self.tables_rollback(question, at_once=True)
+    def tables_pin(self, request):
+        """The same as a rollback, but to all proxies in the scope at once."""
+        return self.tables_rollback(request, at_once=True)
 
-    def tables_put(self, question):
-        return self.ordered(
-            *self.host.desk.put(self.host.clock(), question["scope"], question["lines"], self.zones())
+    def tables_put(self, request):
+        """Holds the proxies in "scope" to a table given by hand: "lines" maps servers to weights."""
+        return self.rollback_response(
+            *self.host.desk.put(self.host.clock(), request["scope"], request["lines"], self.proxy_zones())
         )
 
-    def ordered(self, made, bound):
-        self.host.stir(f"operator's order {made.number}")
+    def rollback_response(self, rollback, bound_us):
+        """Logs the new rollback and describes it; `bound_us` is the bound on its duration in microseconds."""
+        self.host.stir(f"operator's order {rollback.number}")
         self.host.log.warning(
             "rollback ordered",
-            number=made.number,
-            scope=made.scope,
-            version=str(made.version),
-            bound_ms=bound // 1000,
+            number=rollback.number,
+            scope=rollback.scope,
+            version=str(rollback.version),
+            bound_ms=bound_us // 1000,
         )
         return {
-            "number": made.number,
-            "scope": made.scope,
-            "version": str(made.version),
-            "bound_ms": bound / 1000,
+            "number": rollback.number,
+            "scope": rollback.scope,
+            "version": str(rollback.version),
+            "bound_ms": bound_us / 1000,
         }
 
-    def tables_unpin(self, question):
-        ended = self.host.desk.release(question["scope"], self.zones())
+    def tables_unpin(self, request):
+        """Ends the rollbacks and pins of "scope", so that its proxies get the current tables again."""
+        ended = self.host.desk.release(request["scope"], self.proxy_zones())
         self.host.stir("operator's order: unpin")
         if not ended:
-            raise Unknown(f"nothing holds {question['scope']!r}")
+            raise Unknown(f"nothing holds {request['scope']!r}")
         return {"ended": ended}
 
-    def tables_progress(self, question):
-        desk = self.host.desk
+    def tables_progress(self, request):
+        """The state of all rollbacks, and the number of proxies that do not hold their target table."""
+        manager = self.host.desk
         return {
-            "rollbacks": desk.progress(self.zones()),
-            "behind": len(desk.ledger.behind()),
+            "rollbacks": manager.progress(self.proxy_zones()),
+            "behind": len(manager.ledger.behind()),
             "now": self.host.clock(),
         }
 
 
-async def ask(address, method, question=None, within=5.0):
-    """The answer of a controller's operator service as plain values. Raises grpc.RpcError."""
-    options = [("grpc.max_receive_message_length", MOST)]
+async def ask(address, method, request=None, within=5.0):
+    """Calls a method of the operator service at `address` and returns the decoded response.
+
+    `within` is the timeout in seconds. Raises grpc.RpcError.
+    """
+    options = [("grpc.max_receive_message_length", MAX_RESPONSE_BYTES)]
     async with grpc.aio.insecure_channel(address, options=options) as channel:
-        answer = await channel.unary_unary(method)(msgspec.json.encode(question or {}), timeout=within)
-        return msgspec.json.decode(answer)
+        response = await channel.unary_unary(method)(msgspec.json.encode(request or {}), timeout=within)
+        return msgspec.json.decode(response)
