--- a/foxstep/commands/__init__.py
+++ b/foxstep/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one file a command."""
+"""The command line: one module for each command or group of commands."""
 
 import sys
 
@@ -7,12 +7,12 @@
 from foxstep.site import Trouble
 
 
-class Refusing(click.Group):
-    """Bad input is one line on standard error and exit 2."""
+class ErrorReportingGroup(click.Group):
+    """A command group that reports invalid input as one line on standard error and exits with 2."""
 
     def invoke(self, ctx):
         try:
             return super().invoke(ctx)
-        except Trouble as trouble:
-            click.echo(f"foxstep: {trouble}", err=True)
+        except Trouble as error:
+            click.echo(f"foxstep: {error}", err=True)
             sys.exit(2)
--- a/foxstep/commands/logs.py
+++ b/foxstep/commands/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: JSON lines, or for people."""
+"""Structured logs on standard error, as JSON lines or as text for people."""
 
 import logging
 import sys
@@ -7,7 +7,8 @@
 
 
 def set_up(form, level):
-    render = (
+    """Configures structlog for the process; `form` is "json" or "people", `level` a name such as "info"."""
+    renderer = (
         structlog.processors.JSONRenderer()
         if form == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
@@ -18,7 +19,7 @@
             structlog.contextvars.merge_contextvars,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper())),
         logger_factory=structlog.WriteLoggerFactory(sys.stderr),
--- a/foxstep/commands/tables.py
+++ b/foxstep/commands/tables.py
@@ -1,4 +1,4 @@
-"""`foxstep tables`: who holds what, and back to an earlier version."""
+"""`foxstep tables`: shows which proxies hold which versions of tables, and orders rollbacks."""
 
 import time
 
@@ -9,26 +9,28 @@
 from foxstep.operate.service import TABLES, ask
 from foxstep.site import Trouble
 
-LOOK_EVERY = 0.2
+PROGRESS_INTERVAL_S = 0.2
 
 
-def question(address, verb, **fields):
+def call(address, verb, **fields):
+    """The response of the operator service to the tables request `verb`. Raises Trouble."""
     try:
         return anyio.run(ask, address, TABLES[verb], fields)
     except grpc.RpcError as error:
         raise Trouble(f"{address}: {error.details()}") from None
 
 
-def show_list(address, most):
-    answer = question(address, "list", most=most)
-    for entry in answer["versions"]:
-        age = (answer["now"] - entry["at"]) / 1e6
+def show_list(address, max_versions):
+    """Prints the newest versions and the rollbacks."""
+    response = call(address, "list", most=max_versions)
+    for entry in response["versions"]:
+        age = (response["now"] - entry["at"]) / 1e6
         marks = " ".join(
             word
             for word in (
                 "kept" if entry["kept"] else "",
                 entry["judged"],
-                "<- last good" if entry["version"] == answer["last_good"] else "",
+                "<- last good" if entry["version"] == response["last_good"] else "",
             )
             if word
         )
@@ -36,61 +38,70 @@
             f"{entry['version']:>20}  {age:8.1f} s ago  {entry['changed']:4} of {entry['proxies']:4} "
             f"proxies  {marks:24} {entry['cause'][:60]}"
         )
-    show_rollbacks(answer["rollbacks"])
+    show_rollbacks(response["rollbacks"])
 
 
 def show_rollbacks(rollbacks):
-    for r in rollbacks:
+    for rollback in rollbacks:
         click.echo(
-            f"rollback {r['number']}: {r['scope']} to {r['version']}: {r['state']} {r['why']}".rstrip()
-            + f"; {r['settled']} of {r['covered']} proxies hold it, {r['reached']} ordered"
+            f"rollback {rollback['number']}: {rollback['scope']} to {rollback['version']}: "
+            f"{rollback['state']} {rollback['why']}".rstrip()
+            + f"; {rollback['settled']} of {rollback['covered']} proxies hold it, "
+            f"{rollback['reached']} ordered"
         )
-        for proxy, why in r["failed"].items():
-            click.echo(f"    {proxy}: {why}")
+        for proxy, reason in rollback["failed"].items():
+            click.echo(f"    {proxy}: {reason}")
 
 
 def show_table(address, proxy, version):
-    answer = question(address, "show", proxy=proxy or "", version=version or "")
+    """Prints what each proxy holds, or the table of `proxy`, as of `version` if that is given."""
+    response = call(address, "show", proxy=proxy or "", version=version or "")
     if proxy:
-        click.echo(f"{proxy} {answer['version']} {answer['hash']}")
-        for server, weight in sorted(answer["lines"].items()):
+        click.echo(f"{proxy} {response['version']} {response['hash']}")
+        for server, weight in sorted(response["lines"].items()):
             click.echo(f"  {server:24} {weight:g}")
         return
-    for ident, holder in sorted(answer["holders"].items()):
-        back = f" of {holder['rolled_back_to']}" if holder["rolled_back_to"] else ""
+    for ident, holder in sorted(response["holders"].items()):
+        origin = f" of {holder['rolled_back_to']}" if holder["rolled_back_to"] else ""
         refused = f" REFUSED {holder['refused']}" if holder["refused"] else ""
         click.echo(
             f"{ident:20} {'joined' if holder['joined'] else 'away':7} holds "
-            f"{holder['holds'] or '?':16} meant {holder['meant']:16}{back}{refused}"
+            f"{holder['holds'] or '?':16} target {holder['meant']:16}{origin}{refused}"
         )
-    click.echo(f"{len(answer['behind'])} joined proxies do not hold what they are meant to")
+    click.echo(f"{len(response['behind'])} joined proxies do not hold their target table")
 
 
 def show_diff(address, old, new):
-    for proxy, changes in question(address, "diff", old=old, new=new)["changes"].items():
-        told = ", ".join(f"{server} {a:g} to {b:g}" for server, (a, b) in changes.items())
-        click.echo(f"{proxy}: {told}")
+    """Prints the weights that differ between two versions, one proxy a line."""
+    for proxy, changes in call(address, "diff", old=old, new=new)["changes"].items():
+        text = ", ".join(f"{server} {a:g} to {b:g}" for server, (a, b) in changes.items())
+        click.echo(f"{proxy}: {text}")
 
 
 def order(address, verb, scope, version=None, lines=None, wait=True):
-    """Orders, and follows the progress until it has ended. Answers whether all that are covered hold it."""
+    """Orders a rollback, pin or table, and with `wait` prints its progress until it ends.
+
+    Returns whether all proxies in the scope hold it; without `wait` True. Stops waiting after 10 s or 20
+    times the rollback's bound, whichever is longer. Raises Trouble.
+    """
     fields = {"scope": scope, "version": version, "lines": lines}
-    made = question(address, verb, **fields)
+    rollback = call(address, verb, **fields)
     click.echo(
-        f"rollback {made['number']}: {made['scope']} to {made['version']}, within "
-        f"{made['bound_ms'] / 1000:.2f} s if nothing fails"
+        f"rollback {rollback['number']}: {rollback['scope']} to {rollback['version']}, within "
+        f"{rollback['bound_ms'] / 1000:.2f} s if nothing fails"
     )
-    began, last = time.monotonic(), ""
-    limit = max(10.0, 20 * made["bound_ms"] / 1000)
-    while wait and time.monotonic() - began < limit:
-        found = [r for r in question(address, "progress")["rollbacks"] if r["number"] == made["number"]][0]
-        told = f"{found['settled']} of {found['covered']} hold it, {found['state']} {found['why']}".rstrip()
-        if told != last:
-            click.echo(f"  {time.monotonic() - began:6.2f} s  {told}")
-            last = told
+    started_at = time.monotonic()
+    last_text = ""
+    timeout_s = max(10.0, 20 * rollback["bound_ms"] / 1000)
+    while wait and time.monotonic() - started_at < timeout_s:
+        found = [r for r in call(address, "progress")["rollbacks"] if r["number"] == rollback["number"]][0]
+        text = f"{found['settled']} of {found['covered']} hold it, {found['state']} {found['why']}".rstrip()
+        if text != last_text:
+            click.echo(f"  {time.monotonic() - started_at:6.2f} s  {text}")
+            last_text = text
         if found["state"] in ("stopped", "replaced"):
             return False
         if found["state"] == "done" and found["settled"] >= found["covered"]:
             return True
-        time.sleep(LOOK_EVERY)
+        time.sleep(PROGRESS_INTERVAL_S)
     return not wait
