--- a/foxstep/commands/advise.py
+++ b/foxstep/commands/advise.py
@@ -1,4 +1,4 @@
-"""`foxstep advise`: a balancer that registers servers with a controller and prints the weights it is told."""
+"""`foxstep advise`: a SASP balancer that registers servers with a controller and prints their weights."""
 
 import time
 
@@ -10,7 +10,7 @@
 from foxstep.sasp.wire import Flag
 
 
-def shown(weight, flags):
+def format_weight(weight, flags):
     notes = [] if flags & Flag.CONTACT else ["no contact"]
     notes += ["quiesced"] if flags & Flag.QUIESCE else []
     notes += [] if flags & Flag.CONFIDENCE else ["unsure"] if weight else []
@@ -18,20 +18,24 @@
 
 
 def run(address, ident, groups, push, seconds):
+    """Runs the balancer `ident` until ctrl-C, or for `seconds` if that is not None.
+
+    `groups` maps names to servers; with `push` the controller sends weights, otherwise the balancer polls.
+    """
     logs.set_up("people", "info")
-    began = time.monotonic()
+    started_at = time.monotonic()
 
     def show(group):
-        lines = "  ".join(f"{s}={shown(*told)}" for s, told in balancer.weights[group].items())
-        click.echo(f"{time.monotonic() - began:8.2f} s  {group}: {lines}")
+        lines = "  ".join(f"{s}={format_weight(*weight)}" for s, weight in balancer.weights[group].items())
+        click.echo(f"{time.monotonic() - started_at:8.2f} s  {group}: {lines}")
 
     balancer = Balancer(ident, address, groups, push, on_weights=show)
 
-    async def follow():
+    async def run_balancer():
         with anyio.move_on_after(seconds):
             await balancer.run()
 
     try:
-        anyio.run(follow)
+        anyio.run(run_balancer)
     except KeyboardInterrupt:
         pass
--- a/foxstep/commands/inspect.py
+++ b/foxstep/commands/inspect.py
@@ -1,4 +1,4 @@
-"""`foxstep inspect`: a controller's view, as a table."""
+"""`foxstep inspect`: prints the state of a controller."""
 
 import json
 
@@ -11,6 +11,7 @@
 
 
 def run(address, raw):
+    """Prints the controller's view, or with `raw` the JSON of it. Raises Trouble if it can't be reached."""
     try:
         view = anyio.run(ask, address, INSPECT)
     except grpc.RpcError as error:
@@ -20,9 +21,9 @@
         return
     channel, capacity = view["channel"], view["capacity"]
     click.echo(
-        f"epoch {view['epoch']}  C {'unset' if capacity is None else f'{capacity:.1f} ops/s'}  "
+        f"epoch {view['epoch']}  capacity {'unset' if capacity is None else f'{capacity:.1f} ops/s'}  "
         f"channel {channel['waiting']:.0f} of {channel['backlog']:.0f} lines "
-        f"(most {channel['most_waiting']:.0f}, owed {channel['owed']})"
+        f"(max {channel['most_waiting']:.0f}, owed {channel['owed']})"
     )
     for op_type, cap in view["caps"].items():
         click.echo(f"  cap {op_type}: {'none' if cap is None else f'{cap:.1f} ops/s'}")
@@ -34,9 +35,9 @@
             f"{proxy['accepted']} refused {proxy['refused']} {proxy['last_refusal']}"
         )
         for op_type, lines in proxy["lines"].items():
-            held = " ".join(f"{s}={w:g}" for s, w in (lines or {}).items())
+            weights = " ".join(f"{s}={w:g}" for s, w in (lines or {}).items())
             level = proxy["levels"][op_type]
             click.echo(
-                f"    {op_type}: {held or 'no table of ours'}"
+                f"    {op_type}: {weights or 'no table from this controller'}"
                 + (f"  level {level[0]:g} tries {level[1]}" if level else "")
             )
--- a/foxstep/commands/proxy.py
+++ b/foxstep/commands/proxy.py
@@ -1,4 +1,4 @@
-"""`foxstep proxy`: one data-plane proxy, until SIGTERM or ctrl-C."""
+"""`foxstep proxy`: runs one data-plane proxy until SIGTERM or ctrl-C."""
 
 import time
 
@@ -9,7 +9,12 @@
 from foxstep.proxy.program import Proxy
 
 
-async def serve(site, ident, zone, listen, controllers, standing, tell):
+async def serve(site, ident, zone, listen, controllers, standing, print_address):
+    """Runs the proxy `ident` of `site` on the address `listen`, until a signal ends it.
+
+    `controllers` are addresses; `standing` are the servers it uses until a controller sends a table. With
+    `print_address` it prints its address on standard output once it serves.
+    """
     host, _, port = listen.rpartition(":")
     op_types = [{"name": o.name, "method": o.method} for o in site.op_types]
     proxy = Proxy(ident, zone, site.plain(), site.name, op_types, controllers, standing, time.monotonic)
@@ -17,7 +22,7 @@
 
     def started(port):
         log.info("ready", address=f"{host}:{port}", proxy=ident, controllers=controllers)
-        if tell:
+        if print_address:
             print(f"{host}:{port}", flush=True)
 
     async with anyio.create_task_group() as group:
@@ -26,5 +31,6 @@
     log.info("stopped", proxy=ident)
 
 
-def run(*told):
-    anyio.run(serve, *told)
+def run(*args):
+    """Runs `serve` with these arguments."""
+    anyio.run(serve, *args)
--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -1,4 +1,4 @@
-"""`foxstep serve`: one controller, until SIGTERM or ctrl-C."""
+"""`foxstep serve`: runs one controller until SIGTERM or ctrl-C."""
 
 import signal
 
@@ -20,8 +20,8 @@
 from foxstep.xds.listing import ListClient
 from foxstep.xds.probes import Prober
 
-STOP_WITHIN = 0.3
-OPTIONS = [
+STOP_TIMEOUT_S = 0.3  # for the last notes to peers, and again for calls that are open
+SERVER_OPTIONS = [
     ("grpc.so_reuseport", 0),
     ("grpc.max_receive_message_length", MOST_REPORT),
     ("grpc.max_concurrent_streams", 10_000),
@@ -29,49 +29,69 @@
     ("grpc.keepalive_timeout_ms", 2_000),
     ("grpc.http2.ping_timeout_ms", 2_000),
     ("grpc.http2.max_pings_without_data", 0),
-    # Proxies ping often, also in the moment between two streams: that ends no connection.
+    # Proxies ping often, also between two streams; gRPC must not close their connections for it.
     ("grpc.http2.min_recv_ping_interval_without_data_ms", 50),
     ("grpc.http2.max_ping_strikes", 0),
 ]
 
 
 async def wait_for_signal(scope):
+    """Cancels `scope` on SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             scope.cancel()
             return
 
 
-def taping(make, folder, tapes):
-    """`make`, with all that the module is told and orders going to a tape in `folder`, added to `tapes`."""
+def capturing(make, folder, writers):
+    """Wraps `make` so that the module's inputs and orders are captured in `folder`.
 
-    def taped(now, plain, seed):
-        tapes.append(CaptureWriter(folder, now, plain, seed))
-        return CapturedModule(make(now, plain, seed), tapes[0])
+    The CaptureWriter is appended to `writers`, for the caller to close.
+    """
 
-    return taped
+    def make_captured(now, site, seed):
+        writers.append(CaptureWriter(folder, now, site, seed))
+        return CapturedModule(make(now, site, seed), writers[0])
+
+    return make_captured
 
 
 async def serve(
-    site, listen, list_address, state, seed, make, tell, off=(), sasp=None, shared=None, capture=None
+    site,
+    listen,
+    list_address,
+    state,
+    seed,
+    make,
+    print_address,
+    disabled_guards=(),
+    sasp=None,
+    shared=None,
+    capture=None,
 ):
-    """Runs a controller of `site` on `listen`, and its SASP front on `sasp` where that is given; the log's
-    `ready` event tells the addresses."""
+    """Runs a controller of `site` on the address `listen`, until a signal ends it.
+
+    `list_address`: address of the list service, or None; `state`: folder for the state kept across restarts,
+    or None; `make(now, site, seed)` creates the decision module; `sasp`: address for SASP, or None; `shared`:
+    this controller's number and zone, its peers, its address for notes and the fraction of notes to drop;
+    `capture`: folder to capture to, or None. The log event `ready` has the addresses.
+    """
     log = structlog.get_logger("foxstep")
     shared = shared or {}
     me = shared.get("me", site.controllers.me)
     plain = {**site.plain(), "me": me, "zone": shared.get("zone") or site.zone}
-    tapes = []
-    make = taping(make, capture, tapes) if capture else make
-    host = ServingHost(plain, seed, clock, wall, state, off, make, site.reports.cpu_part)
+    capture_writers = []
+    make = capturing(make, capture, capture_writers) if capture else make
+    host = ServingHost(plain, seed, clock, wall, state, disabled_guards, make, site.reports.cpu_part)
     op_types = [
         {"name": o.name, "method": o.method, "try_wait": round(site.proxies.try_aims * o.target_latency)}
         for o in site.op_types
     ]
     front = Front(host, site.name, op_types)
-    server = grpc.aio.server(options=OPTIONS)
+    server = grpc.aio.server(options=SERVER_OPTIONS)
     front.add_to(server)
-    sharing, learning = None, Learning(host, me, site.controllers.exchange)
+    sharing = None
+    learning = Learning(host, me, site.controllers.exchange)
     if shared.get("peers"):
         notes_host, _, notes_port = shared["notes"].rpartition(":")
         notes = await anyio.create_udp_socket(local_host=notes_host, local_port=int(notes_port))
@@ -80,12 +100,13 @@
     port = server.add_insecure_port(listen)
     prober = Prober(host)
     await server.start()
-    asking, advised = None, {}
+    sasp_listener = None
+    sasp_fields = {}
     if sasp:
-        host_part, _, port_part = sasp.rpartition(":")
-        asking = await anyio.create_tcp_listener(local_host=host_part, local_port=int(port_part))
-        advised = {"sasp": f"{host_part}:{asking.extra(anyio.abc.SocketAttribute.local_port)}"}
-    if tell:
+        sasp_host, _, sasp_port = sasp.rpartition(":")
+        sasp_listener = await anyio.create_tcp_listener(local_host=sasp_host, local_port=int(sasp_port))
+        sasp_fields = {"sasp": f"{sasp_host}:{sasp_listener.extra(anyio.abc.SocketAttribute.local_port)}"}
+    if print_address:
         print(f"{listen.rpartition(':')[0]}:{port}", flush=True)
     log.info(
         "ready",
@@ -93,7 +114,7 @@
         site=site.name,
         epoch=host.epoch,
         me=me,
-        **advised,
+        **sasp_fields,
     )
     try:
         async with anyio.create_task_group() as group:
@@ -101,9 +122,9 @@
             group.start_soon(host.run)
             group.start_soon(prober.run)
             group.start_soon(sharing.run if sharing else learning.run)
-            if asking:
-                advice = msgspec.structs.asdict(site.advice)
-                group.start_soon(SaspFront(host, advice).run, asking)
+            if sasp_listener:
+                limits = msgspec.structs.asdict(site.advice)
+                group.start_soon(SaspFront(host, limits).run, sasp_listener)
             if list_address:
                 group.start_soon(
                     ListClient(host, list_address, site.server_list.cluster, f"controller-{me}").run
@@ -111,12 +132,12 @@
     finally:
         with anyio.CancelScope(shield=True):
             if sharing:
-                with anyio.move_on_after(STOP_WITHIN):
+                with anyio.move_on_after(STOP_TIMEOUT_S):
                     await sharing.leave()
-            await server.stop(STOP_WITHIN)
+            await server.stop(STOP_TIMEOUT_S)
             host.store.close()
-            for tape in tapes:
-                tape.close()
+            for writer in capture_writers:
+                writer.close()
         log.info("stopped", orders=host.orders, messages=host.channel.sent_messages)
 
 
@@ -127,13 +148,27 @@
     state,
     seed,
     decider="balance",
-    tell=False,
-    off=(),
+    print_address=False,
+    disabled_guards=(),
     sasp=None,
     shared=None,
     capture=None,
 ):
+    """Runs `serve` with the decision module of that name; see there for the arguments."""
     make = Controller
     if decider == "even":
         from foxstep.drills.even import Even as make
-    anyio.run(serve, site, listen, list_address, state, seed, make, tell, tuple(off), sasp, shared, capture)
+    anyio.run(
+        serve,
+        site,
+        listen,
+        list_address,
+        state,
+        seed,
+        make,
+        print_address,
+        tuple(disabled_guards),
+        sasp,
+        shared,
+        capture,
+    )
--- a/foxstep/commands/servers.py
+++ b/foxstep/commands/servers.py
@@ -1,4 +1,4 @@
-"""`foxstep servers`: the list of servers as a list service tells it now."""
+"""`foxstep servers`: prints the list of servers that a list service (EDS) gives."""
 
 import time
 
@@ -14,7 +14,10 @@
 
 
 async def fetch(address, cluster, within=5.0):
-    """Lines as `interface.Listed`, starts in wall-clock microseconds."""
+    """The list as `interface.Listed` entries, with start times in wall-clock microseconds.
+
+    `within` is the timeout in seconds. Raises grpc.RpcError, or Unsound for an invalid list.
+    """
     async with grpc.aio.insecure_channel(address) as channel:
         call = eds_pb2_grpc.EndpointDiscoveryServiceStub(channel).StreamEndpoints(timeout=within)
         await call.write(
@@ -25,17 +28,18 @@
         response = await call.read()
         call.cancel()
         if response is grpc.aio.EOF:
-            raise Unsound("the service ended the stream without a word")
+            raise Unsound("the service ended the stream without a response")
         return read_list(response, cluster, 0)
 
 
 def run(address, cluster):
+    """Prints one server a line. Raises Trouble if the service can't be reached or its list is invalid."""
     try:
-        lines = anyio.run(fetch, address, cluster)
+        servers = anyio.run(fetch, address, cluster)
     except grpc.RpcError as error:
         raise Trouble(f"{address}: no list service answers there: {error.details()}") from None
     except Unsound as error:
         raise Trouble(f"{address}: {error}") from None
-    for ident, zone, kind, _, state, size, started in sorted(lines):
-        age = f"up {time.time() - started / 1e6:.0f} s" if started else "up for long"
-        click.echo(f"{ident:24} {zone:12} {kind:12} {state:10} size {size:g}  {age}")
+    for ident, zone, kind, _, state, size, started in sorted(servers):
+        uptime = f"up {time.time() - started / 1e6:.0f} s" if started else "up for a long time"
+        click.echo(f"{ident:24} {zone:12} {kind:12} {state:10} size {size:g}  {uptime}")
