--- a/foxstep/site/__init__.py
+++ b/foxstep/site/__init__.py
@@ -1,4 +1,4 @@
-"""What is told at the start: a site's Jsonnet file, checked into types, as the plain map the module gets."""
+"""Site files: the settings of a fleet in Jsonnet, validated, and as the map that the decision module gets."""
 
 from foxstep.site.load import Trouble, read_site
 from foxstep.site.types import Site
--- a/foxstep/site/examples/care.jsonnet
+++ b/foxstep/site/examples/care.jsonnet
@@ -1,4 +1,4 @@
-// A fleet in two places under two controllers; servers tell their load only when probed, rates for each proxy.
+// A fleet in two zones under two controllers. Servers report load only when probed; each proxy gets a rate.
 local fleet = import 'fleet.libsonnet';
 local place(name) = { zone: name, zones: ['north', 'south'] };
 place('north') {
--- a/foxstep/site/examples/crowd.jsonnet
+++ b/foxstep/site/examples/crowd.jsonnet
@@ -1,4 +1,4 @@
-// Many proxies on a middling channel: what the rollback drills run.
+// Many proxies on a channel of medium speed, for the rollback drills.
 local fleet = import 'fleet.libsonnet';
 (import 'morning.jsonnet') + {
   name: 'crowd',
--- a/foxstep/site/examples/docks.jsonnet
+++ b/foxstep/site/examples/docks.jsonnet
@@ -1,4 +1,4 @@
-// Three hundred edge proxies, few messages to each, no further tries unless told.
+// 300 edge proxies with few messages to each and no retries unless a controller orders them.
 local fleet = import 'fleet.libsonnet';
 {
   name: 'docks',
--- a/foxstep/site/examples/fleet.libsonnet
+++ b/foxstep/site/examples/fleet.libsonnet
@@ -1,4 +1,4 @@
-// What small fleets have in common; a site adds its op types and its own figures.
+// Functions and rules shared by the example sites of small fleets; each adds its op types and its own values.
 {
   op(name, effect, earnings, target, timeout, window='0s'):: {
     name: name,
@@ -10,7 +10,7 @@
     late_part: 0.1,
   },
 
-  // A channel that sends `per_s` lines a second and lets so many seconds of it wait.
+  // A channel that sends `per_s` lines per second and queues up to `seconds` seconds of them.
   channel(per_s, seconds, head=4, most=0):: {
     lines_per_s: per_s,
     backlog: per_s * seconds,
--- a/foxstep/site/examples/league.jsonnet
+++ b/foxstep/site/examples/league.jsonnet
@@ -1,4 +1,4 @@
-// Sidecars by the hundred, a share of each op type let in, load reports in the answers.
+// 150 sidecars; levels are shares of each op type, and servers report their load in responses.
 local fleet = import 'fleet.libsonnet';
 {
   name: 'league',
--- a/foxstep/site/examples/loopback.jsonnet
+++ b/foxstep/site/examples/loopback.jsonnet
@@ -1,4 +1,4 @@
-// A small fleet on one machine: what `make demo` and the short drills run.
+// A small fleet on one machine, for `make demo` and the short drills.
 local fleet = import 'fleet.libsonnet';
 {
   name: 'loopback',
--- a/foxstep/site/examples/measured.jsonnet
+++ b/foxstep/site/examples/measured.jsonnet
@@ -1,4 +1,4 @@
-// What `foxstep measure` runs: as many proxies as told, a channel as fast as the largest fleets state.
+// For `foxstep measure`: a given number of proxies, and a channel as fast as the largest fleets specify.
 local fleet = import 'fleet.libsonnet';
 {
   name: 'measured',
--- a/foxstep/site/examples/morning.jsonnet
+++ b/foxstep/site/examples/morning.jsonnet
@@ -1,5 +1,5 @@
-// A fleet of some twenty servers at work that fills them: what the long drills run.
-// Proxies try once more after any failure, as far as the effect of an op bears it.
+// A fleet of about 20 servers near full load, for the long drills.
+// Proxies retry once after any failure, as far as the effect of the op allows a repeat.
 local fleet = import 'fleet.libsonnet';
 {
   name: 'morning',
--- a/foxstep/site/examples/shared.jsonnet
+++ b/foxstep/site/examples/shared.jsonnet
@@ -1,2 +1,2 @@
-// Proxies of controllers that share them: a grace that leaves time to notice one that stands still.
+// Several controllers share the proxies; the grace leaves time to detect a controller that is stopped.
 (import 'crowd.jsonnet') + { name: 'shared', rules+: { grace: '4s' } }
--- a/foxstep/site/examples/short.jsonnet
+++ b/foxstep/site/examples/short.jsonnet
@@ -1,4 +1,4 @@
-// The morning's fleet on a channel that takes little, with cold servers that bear little.
+// The fleet of morning.jsonnet with a slow channel and a low limit on the load of cold servers.
 local fleet = import 'fleet.libsonnet';
 (import 'morning.jsonnet') + {
   name: 'short',
--- a/foxstep/site/examples/storm.jsonnet
+++ b/foxstep/site/examples/storm.jsonnet
@@ -1,4 +1,4 @@
-// Hundreds of proxies that report more than is read: what the drills of report storms run.
+// Hundreds of proxies that send more reports than are read, for the drills of report storms.
 local fleet = import 'fleet.libsonnet';
 (import 'crowd.jsonnet') + {
   name: 'storm',
--- a/foxstep/site/load.py
+++ b/foxstep/site/load.py
@@ -1,4 +1,4 @@
-"""Reads a site file: Jsonnet with its functions and imports, then checked into types."""
+"""Reading site files: evaluates the Jsonnet and validates the result."""
 
 import json
 import os
@@ -6,36 +6,40 @@
 import _jsonnet
 import msgspec
 
-from foxstep.site.types import Site, Time
+from foxstep.site.types import Duration, Site
 
 EXAMPLES = os.path.join(os.path.dirname(__file__), "examples")
 
 
 class Trouble(Exception):
-    """One line for the operator: file, path and what was expected."""
+    """Invalid input. The message is one line with the file, the place in it and what was expected."""
 
 
-def decode(kind, value):
-    if kind is Time:
-        return Time.read(value)
-    raise NotImplementedError(kind)
+def decode(type_, value):
+    """Decoding hook of msgspec for the types that it doesn't know."""
+    if type_ is Duration:
+        return Duration.parse(value)
+    raise NotImplementedError(type_)
 
 
-def read_site(path, **outside):
-    """The `Site` of a Jsonnet file; `outside` becomes its std.extVar values. Raises Trouble, one line."""
+def read_site(path, **ext_vars):
+    """Reads a Jsonnet file as a `Site`; `ext_vars` are its std.extVar values. Raises Trouble."""
     try:
-        text = _jsonnet.evaluate_file(str(path), ext_vars={k: str(v) for k, v in outside.items()})
+        text = _jsonnet.evaluate_file(str(path), ext_vars={k: str(v) for k, v in ext_vars.items()})
     except RuntimeError as error:
         lines = [line.strip() for line in str(error).splitlines() if line.strip()]
-        where = next((f" at {line.split(chr(9))[0]}" for line in lines[1:] if ":" in line), "")
-        raise Trouble(f"{path}: {lines[0] if lines else 'not readable'}{where}") from None
+        location = next((f" at {line.split(chr(9))[0]}" for line in lines[1:] if ":" in line), "")
+        raise Trouble(f"{path}: {lines[0] if lines else 'not readable'}{location}") from None
     return check_site(json.loads(text), path)
 
 
 def check_site(tree, where="site"):
-    """A `Site` from plain values. Raises Trouble, one line that names the path and what was expected."""
+    """Validates plain values as a `Site`. Raises Trouble with the path of the invalid value.
+
+    `where` names the source of the values in the error message.
+    """
     try:
         return msgspec.convert(tree, Site, dec_hook=decode)
     except msgspec.ValidationError as error:
-        text, mark, place = str(error).rpartition(" - at ")
-        raise Trouble(f"{where}: {place.strip('`')}: {text}" if mark else f"{where}: $: {error}") from None
+        text, mark, location = str(error).rpartition(" - at ")
+        raise Trouble(f"{where}: {location.strip('`')}: {text}" if mark else f"{where}: $: {error}") from None
--- a/foxstep/site/types.py
+++ b/foxstep/site/types.py
@@ -1,6 +1,7 @@
-"""The types a site file is checked into, and the plain map of it that the module gets.
+"""The types that a site file is validated against, and the flat map of settings made from them.
 
-Times are written with a unit ("2.5s", "800ms", "15m") and kept in whole microseconds.
+Field names are the keys of a site file. Durations are written with a unit ("2.5s", "800ms", "15m") and are
+held in whole microseconds.
 """
 
 import re
@@ -9,134 +10,158 @@
 import msgspec
 from msgspec import Meta
 
-Positive = Annotated[float, Meta(gt=0)]
-Count = Annotated[int, Meta(ge=0)]
-Some = Annotated[int, Meta(ge=1)]
-Part = Annotated[float, Meta(gt=0, le=1)]
-Amount = Annotated[float, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
+NonNegativeInt = Annotated[int, Meta(ge=0)]
+PositiveInt = Annotated[int, Meta(ge=1)]
+Fraction = Annotated[float, Meta(gt=0, le=1)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]*$", max_length=64)]
 Address = Annotated[str, Meta(pattern=r"^(127\.\d+\.\d+\.\d+|\[::1\]|localhost):\d{1,5}$")]
 
-UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
-WRITTEN = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m)")
+UNIT_US = {"us": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000}
+DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m)")
 
 
-class Time(int):
-    """A stretch of time in whole microseconds, written as a number and a unit."""
+class Duration(int):
+    """A duration in whole microseconds, written in a site file as a number and a unit."""
 
     @classmethod
-    def read(cls, written):
-        found = WRITTEN.fullmatch(written) if isinstance(written, str) else None
-        if found is None:
-            raise ValueError(f'Expected a time with its unit such as "2.5s" or "800ms", got {written!r}')
-        return cls(round(float(found[1]) * UNITS[found[2]]))
+    def parse(cls, text):
+        match = DURATION_PATTERN.fullmatch(text) if isinstance(text, str) else None
+        if match is None:
+            raise ValueError(f'Expected a time with its unit such as "2.5s" or "800ms", got {text!r}')
+        return cls(round(float(match[1]) * UNIT_US[match[2]]))
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A part of a site file: a key it does not know is refused."""
+class Settings(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """Base class of the sections of a site file; unknown keys are rejected."""
 
 
-class Controllers(Strict, kw_only=True):
-    count: Some = 1
-    me: Count = 0
-    step: Time = Time(4_000)  # the shortest gap between two batches of decisions
+class Controllers(Settings, kw_only=True):
+    """The group of controllers that share a fleet."""
+
+    count: PositiveInt = 1
+    me: NonNegativeInt = 0  # number of this controller
+    step: Duration = Duration(4_000)  # shortest interval between two batches of decisions
     peers: bool = False
-    exchange: Positive = 16_000.0  # bytes a second of what each tells the others beside who is alive
+    exchange: PositiveFloat = 16_000.0  # bytes/s of facts that each sends to the others, besides membership
+
 
+class ServerList(Settings, kw_only=True):
+    """The list service that gives the servers of the fleet."""
 
-class ServerList(Strict, kw_only=True):
-    cluster: Name = "servers"  # the resource that the list service knows the fleet by
-    asked: bool = True  # it answers only when asked
-    ask_within: Time = Time(10_000_000)
+    cluster: Name = "servers"  # resource name of the fleet in the list service
+    asked: bool = True  # the service answers only on request
+    ask_within: Duration = Duration(10_000_000)
     weights: Literal["none", "nominal", "rough", "live"] = "none"
 
 
-class OpKind(Strict, kw_only=True):
+class OpType(Settings, kw_only=True):
+    """A type of operation that proxies forward to servers."""
+
     name: Name
-    method: str = ""  # gRPC method path; "": any method whose last part is the name
-    earnings: Positive = 1.0
-    target_latency: Time
-    op_timeout: Time
+    method: str = ""  # gRPC method path; "": any method whose last path segment is the name
+    earnings: PositiveFloat = 1.0
+    target_latency: Duration
+    op_timeout: Duration
     effect: Literal["retryable", "deduplicated", "once-only"]
     scope: Literal["all", "zone", "cell"] = "all"
-    window: Time = Time(0)  # deduplicated: how long a repeat is dropped
-    late_part: Annotated[float, Meta(ge=0, le=1)] = 0.0
+    window: Duration = Duration(0)  # for deduplicated ops: how long servers drop a repeat
+    late_part: Annotated[float, Meta(ge=0, le=1)] = 0.0  # fraction of the earnings if acked too late
     own_zone: bool = False
 
 
-class Proxies(Strict, kw_only=True):
-    count: Some
-    standing: Some = 6
+class Proxies(Settings, kw_only=True):
+    """The proxies of the fleet."""
+
+    count: PositiveInt
+    standing: PositiveInt = 6
+    # Default retries: 0 none, 1 one if the try surely never ran, 2 one after any failure, 3 two.
     usual_tries: Annotated[int, Meta(ge=0, le=3)] = 1
-    try_aims: Positive = 1.0
-    fails_to_shun: Count = 0
-    keepalive: Time = Time(15_000_000)
+    try_aims: PositiveFloat = 1.0  # wait for a try, as a multiple of the target latency
+    fails_to_shun: NonNegativeInt = 0
+    keepalive: Duration = Duration(15_000_000)
     level: Literal["rate", "share", "none"] = "none"
 
 
-class Channel(Strict, kw_only=True):
-    lines_per_s: Positive
-    backlog: Positive  # lines that may wait
-    head: Count = 4  # lines a message costs beside its own
-    messages_most: Count = 0  # to one proxy within `messages_window`; 0: no such limit
-    messages_window: Time = Time(10_000_000)
-    transit: Time = Time(5_000)  # mean way of a message
-    transit_most: Time = Time(100_000)
+class Channel(Settings, kw_only=True):
+    """The channel that carries a controller's messages to its proxies.
+
+    Its load is counted in lines; a line is one entry of a proxy's weight table.
+    """
+
+    lines_per_s: PositiveFloat
+    backlog: PositiveFloat  # lines that may be queued
+    head: NonNegativeInt = 4  # lines that a message costs in addition to its own
+    messages_most: NonNegativeInt = 0  # maximum to one proxy within `messages_window`; 0: unlimited
+    messages_window: Duration = Duration(10_000_000)
+    transit: Duration = Duration(5_000)  # mean delivery time of a message
+    transit_most: Duration = Duration(100_000)  # maximum delivery time of a message
 
 
-class Reports(Strict, kw_only=True):
-    cycle: Time = Time(1_000_000)
-    intake_per_s: Positive = 200.0  # lines that the decisions get
-    cpu_part: Part = 0.4  # of one core, for reading reports; proxies are asked for fewer beyond
+class Reports(Settings, kw_only=True):
+    """The load reports of proxies and servers."""
+
+    cycle: Duration = Duration(1_000_000)
+    intake_per_s: PositiveFloat = 200.0  # lines passed to the decision module
+    cpu_part: Fraction = 0.4  # of one core, for reading; above it proxies are asked to report less often
     fields: list[Literal["busy", "waiting", "holding", "service", "acked_rate", "aborted_rate"]] = []
     by: Literal["answers", "probe", "none"] = "none"
     probes: bool = False
 
 
-class Rules(Strict, kw_only=True):
-    bare: Time
-    grace: Time
-    cold_share: Part
-    ramp: Time
-    fall_multiple: Positive
-    fall: Time
+class Rules(Settings, kw_only=True):
+    """The limits that the guards of the program keep."""
+
+    bare: Duration
+    grace: Duration
+    cold_share: Fraction
+    ramp: Duration
+    fall_multiple: PositiveFloat
+    fall: Duration
     dropped_stay_open: bool = False
 
 
-class Advice(Strict, kw_only=True):
-    """What balancers that ask for advice can make a controller hold."""
+class Advice(Settings, kw_only=True):
+    """Limits on what SASP balancers may register with a controller."""
+
+    balancers: PositiveInt = 64
+    groups: PositiveInt = 64  # per balancer
+    members: PositiveInt = 20_000  # of all balancers together
+    message: Annotated[int, Meta(ge=1_000, le=64 << 20)] = 1 << 20  # size limit in bytes
+    keep: Duration = Duration(300_000_000)  # how long a disconnected balancer's registrations are kept
 
-    balancers: Some = 64
-    groups: Some = 64  # of one balancer
-    members: Some = 20_000  # of all
-    message: Annotated[int, Meta(ge=1_000, le=64 << 20)] = 1 << 20  # bytes
-    keep: Time = Time(300_000_000)  # for so long a balancer that is away keeps what it registered
 
+class Goal(Settings, kw_only=True):
+    """Weights of the parts of the goal that the decisions pursue."""
 
-class Goal(Strict, kw_only=True):
-    whole: Amount = 0.7
-    worst_op_type: Amount = 0.1
-    worst_window: Amount = 0.2
+    whole: NonNegativeFloat = 0.7
+    worst_op_type: NonNegativeFloat = 0.1
+    worst_window: NonNegativeFloat = 0.2
 
 
-class Prices(Strict, kw_only=True):
-    cross_zone: Amount = 0.0
-    probe: Amount = 0.0
-    waste: Amount = 0.0
-    late: Amount = 0.0
-    peer: Amount = 0.0
-    connect: Amount = 0.0
-    order: Amount = 0.0
+class Prices(Settings, kw_only=True):
+    """Costs of events, counted against the earnings."""
 
+    cross_zone: NonNegativeFloat = 0.0
+    probe: NonNegativeFloat = 0.0
+    waste: NonNegativeFloat = 0.0
+    late: NonNegativeFloat = 0.0
+    peer: NonNegativeFloat = 0.0
+    connect: NonNegativeFloat = 0.0
+    order: NonNegativeFloat = 0.0
+
+
+class Site(Settings, kw_only=True):
+    """A whole site file."""
 
-class Site(Strict, kw_only=True):
     name: Name
     zone: Name
     zones: Annotated[list[Name], Meta(min_length=1)]
     kinds: list[Name] = []
     controllers: Controllers = Controllers()
     server_list: ServerList = ServerList()
-    op_types: Annotated[list[OpKind], Meta(min_length=1, max_length=30)]
+    op_types: Annotated[list[OpType], Meta(min_length=1, max_length=30)]
     proxies: Proxies
     channel: Channel
     reports: Reports = Reports()
@@ -146,23 +171,28 @@
     prices: Prices = Prices()
 
     def __post_init__(self):
-        named = [o.name for o in self.op_types]
-        if len(set(named)) < len(named):
-            raise ValueError("Expected each of op_types to have a name of its own")
+        names = [o.name for o in self.op_types]
+        if len(set(names)) < len(names):
+            raise ValueError("Expected the names of op_types to be unique")
         if self.zone not in self.zones:
             raise ValueError(f"Expected zone to be one of zones {self.zones}, got {self.zone!r}")
-        for kind in self.op_types:
-            if kind.op_timeout < kind.target_latency:
-                raise ValueError(f"Expected op_timeout of {kind.name} to be no less than its target_latency")
-            if kind.effect == "deduplicated" and not kind.window:
-                raise ValueError(f"Expected a window for {kind.name}, which is deduplicated")
-        least = self.channel.head + 2 + self.proxies.standing
-        if self.channel.backlog < least:
-            raise ValueError(f"Expected channel.backlog to take one whole table ({least} lines or more)")
+        for op_type in self.op_types:
+            if op_type.op_timeout < op_type.target_latency:
+                raise ValueError(
+                    f"Expected op_timeout of {op_type.name} to be no less than its target_latency"
+                )
+            if op_type.effect == "deduplicated" and not op_type.window:
+                raise ValueError(f"Expected a window for {op_type.name}, which is deduplicated")
+        min_lines = self.channel.head + 2 + self.proxies.standing
+        if self.channel.backlog < min_lines:
+            raise ValueError(f"Expected channel.backlog to take one whole table ({min_lines} lines or more)")
 
     def plain(self):
-        """The map of names to values that the module gets; the names are those of simhost/names.py."""
-        kinds = [
+        """The settings that the decision module gets, as a flat map with the names of `simhost/names.py`.
+
+        Durations are in microseconds.
+        """
+        op_types = [
             {
                 "name": o.name,
                 "earnings": o.earnings,
@@ -177,7 +207,7 @@
         ]
         channel, rules, reports, proxies = self.channel, self.rules, self.reports, self.proxies
         return {
-            "op_types": kinds,
+            "op_types": op_types,
             "own_zone": [o.own_zone for o in self.op_types],
             "controllers": self.controllers.count,
             "me": self.controllers.me,
