--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -79,10 +79,10 @@
     log = structlog.get_logger("foxstep")
     shared = shared or {}
     me = shared.get("me", site.controllers.me)
-    plain = {**site.plain(), "me": me, "zone": shared.get("zone") or site.zone}
+    settings = {**site.plain(), "me": me, "zone": shared.get("zone") or site.zone}
     capture_writers = []
     make = capturing(make, capture, capture_writers) if capture else make
-    host = ServingHost(plain, seed, clock, wall, state, disabled_guards, make, site.reports.cpu_part)
+    host = ServingHost(settings, seed, clock, wall, state, disabled_guards, make, site.reports.cpu_part)
     op_types = [
         {"name": o.name, "method": o.method, "try_wait": round(site.proxies.try_aims * o.target_latency)}
         for o in site.op_types
@@ -90,13 +90,15 @@
     front = Front(host, site.name, op_types)
     server = grpc.aio.server(options=SERVER_OPTIONS)
     front.add_to(server)
-    sharing = None
-    learning = Learning(host, me, site.controllers.exchange)
+    coordinator = None
+    fact_exchange = Learning(host, me, site.controllers.exchange)
     if shared.get("peers"):
         notes_host, _, notes_port = shared["notes"].rpartition(":")
         notes = await anyio.create_udp_socket(local_host=notes_host, local_port=int(notes_port))
-        sharing = Sharing(host, learning, site.name, me, shared["peers"], notes, shared.get("lose", 0.0))
-    server.add_generic_rpc_handlers((OperatorService(host, sharing),))
+        coordinator = Sharing(
+            host, fact_exchange, site.name, me, shared["peers"], notes, shared.get("lose", 0.0)
+        )
+    server.add_generic_rpc_handlers((OperatorService(host, coordinator),))
     port = server.add_insecure_port(listen)
     prober = Prober(host)
     await server.start()
@@ -121,7 +123,7 @@
             group.start_soon(wait_for_signal, group.cancel_scope)
             group.start_soon(host.run)
             group.start_soon(prober.run)
-            group.start_soon(sharing.run if sharing else learning.run)
+            group.start_soon(coordinator.run if coordinator else fact_exchange.run)
             if sasp_listener:
                 limits = msgspec.structs.asdict(site.advice)
                 group.start_soon(SaspFront(host, limits).run, sasp_listener)
@@ -131,9 +133,9 @@
                 )
     finally:
         with anyio.CancelScope(shield=True):
-            if sharing:
+            if coordinator:
                 with anyio.move_on_after(STOP_TIMEOUT_S):
-                    await sharing.leave()
+                    await coordinator.leave()
             await server.stop(STOP_TIMEOUT_S)
             host.store.close()
             for writer in capture_writers:
--- a/foxstep/site/types.py
+++ b/foxstep/site/types.py
@@ -78,7 +78,7 @@
     standing: PositiveInt = 6
     # Default retries: 0 none, 1 one if the try surely never ran, 2 one after any failure, 3 two.
     usual_tries: Annotated[int, Meta(ge=0, le=3)] = 1
-    try_aims: PositiveFloat = 1.0  # wait for a try, as a multiple of the target latency
+    try_aims: PositiveFloat = 1.0  # timeout of a try that may be repeated, in target latencies
     fails_to_shun: NonNegativeInt = 0
     keepalive: Duration = Duration(15_000_000)
     level: Literal["rate", "share", "none"] = "none"
