--- a/foxstep/commands/inspect.py
+++ b/foxstep/commands/inspect.py
@@ -11,7 +11,7 @@
 
 
 def run(address, raw):
-    """Prints the controller's view, or with `raw` the JSON of it. Raises Trouble if it can't be reached."""
+    """Prints the controller's view, or with `raw` the JSON of it. Raises Trouble if it's unreachable."""
     try:
         view = anyio.run(ask, address, INSPECT)
     except grpc.RpcError as error:
