--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -18,8 +18,8 @@
 class OperatorService(grpc.GenericRpcHandler):
     """Answers operators' requests to the controller of `host`.
 
-    `sharing` coordinates it with the other controllers; None if it has no peers. An invalid request is
-    answered with the status INVALID_ARGUMENT and a message of one line.
+    `sharing` coordinates it with the other controllers; None if it has no peers. An invalid
+    request is answered with the status INVALID_ARGUMENT and a message of one line.
     """
 
     def __init__(self, host, sharing=None):
