--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -22,7 +22,8 @@
 
 PREFIX = "type.googleapis.com/envoy.config."
 LEVELS = PREFIX + "endpoint.v3.ClusterLoadAssignment"  # of an assignment only its drops are read
-ROUTES, LINE = PREFIX + "route.v3.RouteConfiguration", PREFIX + "endpoint.v3.LbEndpoint"
+ROUTES = PREFIX + "route.v3.RouteConfiguration"
+LINE = PREFIX + "endpoint.v3.LbEndpoint"
 FEATURES = ["foxstep.quotas", "foxstep.tables", "foxstep.home"]
 HOME = "foxstep-home"  # trailing metadata of a stream's end: the controller to dial next
 MICRO = 1_000_000
@@ -43,7 +44,8 @@
 def way_of(policy):
     """A way of trying again from a retry policy: words that are not known are skipped."""
     words = set(policy.retry_on.split(","))
-    proven, failure = {"connect-failure", "refused-stream"}, {"reset", "unavailable"}
+    proven = {"connect-failure", "refused-stream"}
+    failure = {"reset", "unavailable"}
     if not policy.num_retries.value or not words & (proven | failure):
         return NEVER
     if not words & failure:
@@ -81,15 +83,29 @@
         stall=0.0,
         notice=1_000,
     ):
-        self.ident, self.zone, self.rate, self.site_name = ident, zone, rate, site_name
-        self.op_types, self.controllers, self.table, self.forwarder = op_types, controllers, table, forwarder
-        self.clock, self.seed, self.redial, self.stall = clock, seed, redial, stall
+        self.ident = ident
+        self.zone = zone
+        self.rate = rate
+        self.site_name = site_name
+        self.op_types = op_types
+        self.controllers = controllers
+        self.table = table
+        self.forwarder = forwarder
+        self.clock = clock
+        self.seed = seed
+        self.redial = redial
+        self.stall = stall
         self.notice = notice
         self.pattern = f"xdstp:///envoy.config.endpoint.v3.LbEndpoint/{site_name}/every-op-type/*"
-        self.dials, self.joined, self.refusals, self.channels = 0, False, 0, {}
-        self.avoided, self.in_vain = {}, 0  # controller -> until when; dials in a row that brought nothing
+        self.dials = 0
+        self.joined = False
+        self.refusals = 0
+        self.channels = {}
+        self.avoided = {}
+        self.in_vain = 0  # controller -> until when; dials in a row that brought nothing
         self.next_home = ""  # where the last controller has sent it
-        self.every, self.heard_interval = USAGE_EVERY, anyio.Event()  # seconds between reports, as asked for
+        self.every = USAGE_EVERY
+        self.heard_interval = anyio.Event()  # seconds between reports, as asked for
         self.taken = None  # set when the streams' controller has sent something
         self.log = structlog.get_logger("foxstep.proxy").bind(proxy=ident)
 
@@ -122,10 +138,12 @@
     async def run(self):
         try:
             while True:
-                address, self.next_home = self.next_home, ""
+                address = self.next_home
+                self.next_home = ""
                 address = address or self.next_controller()
                 await self.dial(address)
-                was_joined, self.joined = self.joined, False
+                was_joined = self.joined
+                self.joined = False
                 self.in_vain = 0 if was_joined else self.in_vain + 1
                 self.avoided[address] = self.clock() + 8 * self.notice / 1000
                 if self.next_home:
@@ -212,8 +230,10 @@
                 if lines and self.stall:
                     self.forwarder.stand_still(lines * self.stall)
             except Refused as refused:
-                self.refusals, over = self.refusals + 1, isinstance(refused, Over)
-                answer.error_detail.code, answer.error_detail.message = 3, str(refused)
+                self.refusals = self.refusals + 1
+                over = isinstance(refused, Over)
+                answer.error_detail.code = 3
+                answer.error_detail.message = str(refused)
                 self.log.warning("table refused", why=str(refused))
             await call.write(answer)
             if over:  # whoever sent it learns what is held when this proxy joins anew
@@ -311,7 +331,8 @@
                 met = stats.upstream_locality_stats.add(
                     total_successful_requests=good, total_error_requests=bad, total_issued_requests=good + bad
                 )
-                met.locality.zone, met.locality.sub_zone = self.zone, server
+                met.locality.zone = self.zone
+                met.locality.sub_zone = server
                 if good:
                     met.load_metric_stats.add(
                         metric_name="foxstep.latency_us",
@@ -330,10 +351,12 @@
         call = rlqs_pb2_grpc.RateLimitQuotaServiceStub(channel).StreamRateLimitQuotas()
 
         async def tell():
-            began, first = self.clock(), True
+            began = self.clock()
+            first = True
             self.forwarder.levels.told()
             while True:
-                now, came = self.clock(), self.forwarder.levels.told()
+                now = self.clock()
+                came = self.forwarder.levels.told()
                 report = rlqs_pb2.RateLimitQuotaUsageReports(domain=self.site_name if first else "")
                 for op_type in self.op_types:
                     usage = report.bucket_quota_usages.add()
@@ -341,7 +364,8 @@
                     usage.num_requests_allowed, usage.num_requests_denied = came.get(op_type["name"], (0, 0))
                     if not first:
                         usage.time_elapsed.FromNanoseconds(max(1, round((now - began) * 1e9)))
-                began, first = now, False
+                began = now
+                first = False
                 await call.write(report)
                 await self.pause(began)
 
@@ -353,7 +377,8 @@
             raise EOFError("the controller ended the stream")
 
     def assign(self, action):
-        name, now = action.bucket_id.bucket.get("op_type", ""), round(self.clock() * MICRO)
+        name = action.bucket_id.bucket.get("op_type", "")
+        now = round(self.clock() * MICRO)
         if name not in {o["name"] for o in self.op_types}:
             return
         if not action.HasField("quota_assignment_action"):
--- a/foxstep/proxy/door.py
+++ b/foxstep/proxy/door.py
@@ -22,12 +22,20 @@
     """One op of a client. `kept` are its body's parts so far, while a further try may need them."""
 
     def __init__(self, client, number, headers):
-        self.client, self.number, self.headers = client, number, headers
+        self.client = client
+        self.number = number
+        self.headers = headers
         path = next((value for name, value in headers if name == b":path"), b"")
         self.path = path.decode("utf-8", "replace")
-        self.kept, self.size, self.ended, self.more = [], 0, False, asyncio.Event()
-        self.replayable, self.forgotten = True, 0
-        self.window, self.gone, self.began = asyncio.Event(), False, False
+        self.kept = []
+        self.size = 0
+        self.ended = False
+        self.more = asyncio.Event()
+        self.replayable = True
+        self.forgotten = 0
+        self.window = asyncio.Event()
+        self.gone = False
+        self.began = False
         self.task = None
 
     def body(self, data, counted):
@@ -80,7 +88,8 @@
 
     def __init__(self, door):
         super().__init__(h2.connection.H2Connection(config=CONFIG))
-        self.door, self.ops = door, {}
+        self.door = door
+        self.ops = {}
 
     def connection_made(self, transport):
         self.transport = transport
@@ -182,7 +191,11 @@
     """`handle(op)`: an async function that answers an op."""
 
     def __init__(self, handle):
-        self.handle, self.clients, self.draining, self.server, self.port = handle, {}, False, None, 0
+        self.handle = handle
+        self.clients = {}
+        self.draining = False
+        self.server = None
+        self.port = 0
 
     async def open(self, host, port):
         self.server = await asyncio.get_running_loop().create_server(lambda: Client(self), host, port)
--- a/foxstep/proxy/forward.py
+++ b/foxstep/proxy/forward.py
@@ -12,7 +12,9 @@
 TIMEOUT = re.compile(rb"(\d{1,8})([HMSmun])")
 UNITS = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
 HOP = {b"connection", b"te", b"grpc-timeout"}  # written anew for each try
-UNAVAILABLE, EXHAUSTED, DEADLINE = 14, 8, 4
+UNAVAILABLE = 14
+EXHAUSTED = 8
+DEADLINE = 4
 MICRO = 1_000_000
 LOAD = b"endpoint-load-metrics-bin"
 
@@ -43,10 +45,18 @@
         connections=4,
         note=lambda *_, **__: None,
     ):
-        self.op_types, self.picker, self.tries, self.levels = op_types, picker, tries, levels
-        self.reports, self.clock, self.note = reports, clock, note
-        self.keepalive, self.connect, self.connections = keepalive, connect, connections
-        self.pools, self.still_until = {}, 0.0
+        self.op_types = op_types
+        self.picker = picker
+        self.tries = tries
+        self.levels = levels
+        self.reports = reports
+        self.clock = clock
+        self.note = note
+        self.keepalive = keepalive
+        self.connect = connect
+        self.connections = connections
+        self.pools = {}
+        self.still_until = 0.0
         self.try_wait = {}  # op type -> seconds that a try has which may be followed after any failure
         self.by_method = {o["method"]: o for o in op_types if o.get("method")}
         self.by_name = {o["name"]: o for o in op_types if not o.get("method")}
@@ -77,7 +87,8 @@
         if op_type is None:
             op.refuse(12, f"no op type for {op.path[:80]}")
             return
-        name, came = op_type["name"], self.clock()
+        name = op_type["name"]
+        came = self.clock()
         allowed, after = self.levels.let_in(round(came * MICRO), name)
         if not allowed:
             op.refuse(EXHAUSTED, "not let in", after)
@@ -85,7 +96,9 @@
         limit = timeout_of(op.headers)
         limit = op_type["op_timeout"] / MICRO if limit is None else limit
         self.tries.first()
-        tried, further, first_sent = [], 0, None
+        tried = []
+        further = 0
+        first_sent = None
         while True:
             if self.clock() < self.still_until:
                 await asyncio.sleep(self.still_until - self.clock())
@@ -104,9 +117,15 @@
                     status, load = await self.once(op, name, server, left)
                 ending = "error" if status else None
             except Ended as ended:
-                status, load, ending, why = UNAVAILABLE, None, ended.ending, ended.text
+                status = UNAVAILABLE
+                load = None
+                ending = ended.ending
+                why = ended.text
             except TimeoutError:
-                status, load, ending, why = DEADLINE, None, "timeout", "no answer in time"
+                status = DEADLINE
+                load = None
+                ending = "timeout"
+                why = "no answer in time"
             took = self.clock() - began
             self.reports.tried(server, name, ending is None, took, load)
             if ending is None:
@@ -163,7 +182,8 @@
                 return
 
     async def read_answer(self, op, under_way):
-        failed, load = True, None
+        failed = True
+        load = None
         while True:
             event = await under_way.event()
             if event[0] == "headers":
@@ -179,7 +199,8 @@
                 await op.send(event[1])
                 under_way.taken(event[2])
             elif event[0] == "trailers":
-                failed, load = dict(event[1]).get(b"grpc-status", b"2") != b"0", load_of(event[1])
+                failed = dict(event[1]).get(b"grpc-status", b"2") != b"0"
+                load = load_of(event[1])
                 op.finish(event[1])
             else:
                 if not failed:
--- a/foxstep/proxy/levels.py
+++ b/foxstep/proxy/levels.py
@@ -9,11 +9,15 @@
     """A rate as a token bucket, exact over any stretch: at most `burst` + rate x time are let in."""
 
     def __init__(self, now, rate, burst):
-        self.rate, self.burst, self.tokens, self.at = rate, burst, min(1.0, burst), now
+        self.rate = rate
+        self.burst = burst
+        self.tokens = min(1.0, burst)
+        self.at = now
 
     def set(self, now, rate, burst):
         self.fill(now)
-        self.rate, self.burst = rate, burst
+        self.rate = rate
+        self.burst = burst
         self.tokens = min(self.tokens, burst)
 
     def fill(self, now):
@@ -34,8 +38,12 @@
     gives no time of its own, microseconds."""
 
     def __init__(self, seed, wait):
-        self.seed, self.wait, self.count = seed, wait, 0
-        self.buckets, self.shares, self.until = {}, {}, {}
+        self.seed = seed
+        self.wait = wait
+        self.count = 0
+        self.buckets = {}
+        self.shares = {}
+        self.until = {}
         self.came = {}  # op type -> [let in, not let in] since last told
 
     def rate(self, now, op_type, rate, burst, lasts=0):
@@ -60,7 +68,8 @@
         self.count += 1
         chance = crc32(b"%d:%d" % (self.seed, self.count)) / 2**32
         come = self.came.setdefault(op_type, [0, 0])
-        allowed, after = chance < self.shares.get(op_type, 1.0), self.wait
+        allowed = chance < self.shares.get(op_type, 1.0)
+        after = self.wait
         bucket = self.buckets.get(op_type)
         if allowed and bucket:
             allowed, after = bucket.take(now)
@@ -69,5 +78,6 @@
 
     def told(self):
         """What came since this was last asked: op type -> (let in, not let in)."""
-        came, self.came = self.came, {}
+        came = self.came
+        self.came = {}
         return {op_type: tuple(counts) for op_type, counts in came.items()}
--- a/foxstep/proxy/pick.py
+++ b/foxstep/proxy/pick.py
@@ -12,7 +12,11 @@
     __slots__ = ("server", "weight", "due", "turn", "held")
 
     def __init__(self, server, weight, due, turn):
-        self.server, self.weight, self.due, self.turn, self.held = server, weight, due, turn, True
+        self.server = server
+        self.weight = weight
+        self.due = due
+        self.turn = turn
+        self.held = True
 
 
 class Picker:
@@ -20,9 +24,16 @@
     microseconds."""
 
     def __init__(self, seed=0, shun_after=0, shun_for=0):
-        self.seed, self.shun_after, self.shun_for = seed, shun_after, shun_for
-        self.lines, self.heap, self.turn, self.at = {}, [], 0, 0.0  # `at`: the deadline picked last
-        self.failed_row, self.shunned, self.entries = {}, {}, 0
+        self.seed = seed
+        self.shun_after = shun_after
+        self.shun_for = shun_for
+        self.lines = {}
+        self.heap = []
+        self.turn = 0
+        self.at = 0.0  # `at`: the deadline picked last
+        self.failed_row = {}
+        self.shunned = {}
+        self.entries = 0
 
     def set(self, lines):
         """Replaces the table (server -> weight; none at or below 0). A line that stays keeps its place: the
@@ -42,7 +53,8 @@
                 self.push(line)
             elif line.weight != weight:
                 moved = Line(server, weight, self.at + max(line.due - self.at, 0) * line.weight / weight, 0)
-                line.held, self.lines[server] = False, moved
+                line.held = False
+                self.lines[server] = moved
                 self.push(moved)
         for known in (self.failed_row, self.shunned):
             for server in [s for s in known if s not in lines]:
@@ -60,7 +72,8 @@
         return server or self.due_first(lambda s: s not in but)
 
     def due_first(self, fits):
-        passed, found = [], None
+        passed = []
+        found = None
         while self.heap:
             due, _, line = heapq.heappop(self.heap)
             if not line.held:
--- a/foxstep/proxy/program.py
+++ b/foxstep/proxy/program.py
@@ -42,7 +42,8 @@
             for told, kind in zip(op_types, site["op_types"], strict=True)
         ]
         effects = {o["name"]: (o["effect"], o["window"], o["scope"]) for o in site["op_types"]}
-        self.table, self.reports = Table(standing), Reports()
+        self.table = Table(standing)
+        self.reports = Reports()
         self.forwarder = Forwarder(
             kinds,
             Picker(seed, site["fails_to_shun"], round(shun_for * 1e6)),
--- a/foxstep/proxy/reports.py
+++ b/foxstep/proxy/reports.py
@@ -6,7 +6,8 @@
 
 class Reports:
     def __init__(self):
-        self.met, self.uncounted = {}, 0
+        self.met = {}
+        self.uncounted = 0
 
     def tried(self, server, op_type, good, took, load):
         """One try: `took` in seconds, `load` the server's ORCA report or None."""
@@ -29,7 +30,8 @@
     def told(self):
         """(server, op type) -> [good, bad, seconds of the good, {metric: (times, total)}] since last
         asked."""
-        met, self.met = self.met, {}
+        met = self.met
+        self.met = {}
         return met
 
     def forget(self):
--- a/foxstep/proxy/table.py
+++ b/foxstep/proxy/table.py
@@ -28,7 +28,9 @@
     """Begins as a standing table, which is nobody's version: the first change of a controller replaces it."""
 
     def __init__(self, standing=()):
-        self.lines, self.name, self.epoch = dict.fromkeys(standing, 1000), "", 0
+        self.lines = dict.fromkeys(standing, 1000)
+        self.name = ""
+        self.epoch = 0
         self.changes = self.refusals = 0
 
     def held(self):
@@ -62,6 +64,8 @@
         if content_hash(lines) != result:
             self.refusals += 1
             raise Refused(f"comes to {content_hash(lines)} instead of {result}")
-        self.lines, self.name, self.epoch = lines, name, epoch
+        self.lines = lines
+        self.name = name
+        self.epoch = epoch
         self.changes += 1
         return len(changed) + len(removed)
--- a/foxstep/proxy/tries.py
+++ b/foxstep/proxy/tries.py
@@ -24,7 +24,9 @@
     """`effects`: op type -> (effect, window in microseconds, scope). `ways`: op type -> way, as ordered."""
 
     def __init__(self, effects, usual):
-        self.effects, self.ways, self.usual = effects, {}, usual
+        self.effects = effects
+        self.ways = {}
+        self.usual = usual
         self.budget = BUDGET_MOST
 
     def first(self):
--- a/foxstep/proxy/upstream.py
+++ b/foxstep/proxy/upstream.py
@@ -21,7 +21,8 @@
 
     def __init__(self, ending, text=""):
         super().__init__(ending, text)
-        self.ending, self.text = ending, text
+        self.ending = ending
+        self.text = text
 
 
 class Try:
@@ -29,8 +30,11 @@
     list), ("end",) or an Ended; what is not read yet is bounded by the stream's window."""
 
     def __init__(self, connection, number):
-        self.connection, self.number = connection, number
-        self.events, self.window, self.done = asyncio.Queue(), asyncio.Event(), False
+        self.connection = connection
+        self.number = number
+        self.events = asyncio.Queue()
+        self.window = asyncio.Event()
+        self.done = False
         self.taken_over = False  # the server went, and had taken it
 
     async def event(self):
@@ -47,7 +51,8 @@
 
     async def send(self, data, end):
         """Sends body bytes as the windows let it. Raises Ended when the stream has ended."""
-        wire, at = self.connection.wire, 0
+        wire = self.connection.wire
+        at = 0
         while True:
             if self.done:
                 return
@@ -84,7 +89,9 @@
 class Connection(Wired):
     def __init__(self, pool):
         super().__init__(h2.connection.H2Connection(config=CONFIG))
-        self.pool, self.tries, self.going = pool, {}, False
+        self.pool = pool
+        self.tries = {}
+        self.going = False
         self.idle_since = pool.clock()
         self.most = pool.streams
 
@@ -193,9 +200,16 @@
     without one."""
 
     def __init__(self, server, clock, most=4, streams=100, connect=0.25, idle=15.0):
-        self.server, self.clock, self.most, self.streams = server, clock, most, streams
-        self.connect, self.idle = connect, idle
-        self.open, self.dialling, self.waiting, self.opened = [], 0, asyncio.Event(), 0
+        self.server = server
+        self.clock = clock
+        self.most = most
+        self.streams = streams
+        self.connect = connect
+        self.idle = idle
+        self.open = []
+        self.dialling = 0
+        self.waiting = asyncio.Event()
+        self.opened = 0
         self.closed = False
 
     async def get(self, within):
--- a/foxstep/proxy/wired.py
+++ b/foxstep/proxy/wired.py
@@ -5,7 +5,8 @@
 
 class Wired(asyncio.Protocol):
     def __init__(self, wire):
-        self.wire, self.transport = wire, None
+        self.wire = wire
+        self.transport = None
         self.gone = self.flushing = False
 
     def flush(self):
--- a/foxstep/standins/advised.py
+++ b/foxstep/standins/advised.py
@@ -12,7 +12,8 @@
 
     def __init__(self, ident, address, groups, timeouts, record, clock, seed):
         super().__init__(ident, timeouts, record, clock, seed)
-        self.balancer, self.channels = Balancer(ident, address, groups), {}
+        self.balancer = Balancer(ident, address, groups)
+        self.channels = {}
 
     def channel_for(self, op_type):
         weights = {s: w for s, (w, _) in self.balancer.weights.get(op_type, {}).items() if w}
--- a/foxstep/standins/door.py
+++ b/foxstep/standins/door.py
@@ -11,7 +11,11 @@
     """Relays TCP from `port` to an inner port. `slow` seconds pass before a new connection is let through."""
 
     def __init__(self):
-        self.port, self.inner, self.slow, self.server, self.open = 0, 0, 0.0, None, set()
+        self.port = 0
+        self.inner = 0
+        self.slow = 0.0
+        self.server = None
+        self.open = set()
 
     async def start(self, inner):
         self.inner = inner
--- a/foxstep/standins/mail.py
+++ b/foxstep/standins/mail.py
@@ -9,7 +9,9 @@
     """`ports`: where each controller hears its notes. `address(a, b)`: where a sends what is for b."""
 
     def __init__(self, ports):
-        self.ports, self.ways, self.cut = ports, {}, set()  # cut: (from, to)
+        self.ports = ports
+        self.ways = {}
+        self.cut = set()  # cut: (from, to)
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
         async with AsyncExitStack() as stack, anyio.create_task_group() as group:
--- a/foxstep/standins/tap.py
+++ b/foxstep/standins/tap.py
@@ -28,10 +28,18 @@
     """Every stream to `target` goes here. `cut` proxies reach nothing; `late` proxies' reports wait."""
 
     def __init__(self, record, target, number=0, notice=1_000):
-        self.record, self.target, self.notice = record, target, notice
+        self.record = record
+        self.target = target
+        self.notice = notice
         self.first_stream = number * 10_000_000
-        self.cut, self.late, self.mute, self.poison = set(), {}, set(), set()
-        self.server, self.port, self.upstream, self.streams = None, 0, None, self.first_stream
+        self.cut = set()
+        self.late = {}
+        self.mute = set()
+        self.poison = set()
+        self.server = None
+        self.port = 0
+        self.upstream = None
+        self.streams = self.first_stream
         self.why = ""  # the last stream's break
         self.lost = {}  # proxy -> events that end its streams
 
@@ -81,7 +89,8 @@
         if proxy in self.cut:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "cut off")
         self.streams += 1
-        stream, lost = self.streams, anyio.Event()
+        stream = self.streams
+        lost = anyio.Event()
         self.lost.setdefault(proxy, []).append(lost)
         call = self.upstream.stream_stream(method)()
         if method in (ADS, DELTA):
--- a/foxstep/standins/watch.py
+++ b/foxstep/standins/watch.py
@@ -22,7 +22,10 @@
 
 class Watch:
     def __init__(self, record, target):
-        self.record, self.target, self.port, self.streams = record, target, 0, 0
+        self.record = record
+        self.target = target
+        self.port = 0
+        self.streams = 0
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -61,7 +64,9 @@
             self.record("joined", proxy=session["balancer"], stream=session["stream"])
         if message.kind not in (0x1035, 0x1040):
             return
-        ident, stream, number = session["balancer"], session["stream"], message.header.number
+        ident = session["balancer"]
+        stream = session["stream"]
+        number = message.header.number
         self.record(
             "advised",
             proxy=ident,
