--- a/foxstep/proxy/__init__.py
+++ b/foxstep/proxy/__init__.py
@@ -1,2 +1,4 @@
-"""A plain proxy: gRPC ops in, gRPC ops out, exactly as its tables say. It shares no code with the
-controller."""
+"""A small HTTP/2 gRPC proxy that forwards ops according to the tables that its controller sends by xDS.
+
+It shares no code with the controller.
+"""
--- a/foxstep/proxy/reports.py
+++ b/foxstep/proxy/reports.py
@@ -1,39 +1,40 @@
-"""What the proxy met at servers, added up until it is told. Bounded: one line a server and op type. No
-I/O."""
+"""Sums the outcomes of tries at servers until they are reported. Bounded: one entry for each server and op
+type. No I/O."""
 
-MOST = 20_000  # lines; beyond that what is new is not counted, and that is told
+MAX_ENTRIES = 20_000  # new pairs beyond that are left out and counted in `uncounted`
 
 
 class Reports:
+    """(server, op type) -> [succeeded, failed, seconds of the succeeded, {metric: (count, total)}]."""
+
     def __init__(self):
-        self.met = {}
+        self.sums = {}
         self.uncounted = 0
 
-    def tried(self, server, op_type, good, took, load):
-        """One try: `took` in seconds, `load` the server's ORCA report or None."""
+    def record_try(self, server, op_type, succeeded, seconds, load):
+        """Adds one try: its duration in seconds, and the server's ORCA report or None as `load`."""
         key = server, op_type
-        if key not in self.met:
-            if len(self.met) >= MOST:
+        if key not in self.sums:
+            if len(self.sums) >= MAX_ENTRIES:
                 self.uncounted += 1
                 return
-            self.met[key] = [0, 0, 0.0, {}]
-        sums = self.met[key]
-        sums[0 if good else 1] += 1
-        if good:
-            sums[2] += took
+            self.sums[key] = [0, 0, 0.0, {}]
+        sums = self.sums[key]
+        sums[0 if succeeded else 1] += 1
+        if succeeded:
+            sums[2] += seconds
         if load is not None:
             for name, value in (("busy", load.cpu_utilization), *load.named_metrics.items()):
                 if name in ("busy", "waiting", "holding"):
-                    times, total = sums[3].get(name, (0, 0.0))
-                    sums[3][name] = times + 1, total + value
+                    count, total = sums[3].get(name, (0, 0.0))
+                    sums[3][name] = count + 1, total + value
 
-    def told(self):
-        """(server, op type) -> [good, bad, seconds of the good, {metric: (times, total)}] since last
-        asked."""
-        met = self.met
-        self.met = {}
-        return met
+    def take(self):
+        """Returns and resets the sums."""
+        unsent = self.sums
+        self.sums = {}
+        return unsent
 
     def forget(self):
-        """What was met without a stream is not told as of now."""
-        self.met = {}
+        """Drops sums from before a stream opened: they would be reported as if they were recent."""
+        self.sums = {}
--- a/foxstep/proxy/table.py
+++ b/foxstep/proxy/table.py
@@ -1,31 +1,33 @@
-"""The proxy's table: changes are taken whole or not at all, checked by what they build on and come to. No
-I/O."""
+"""The proxy's weight table. A change is applied atomically, checked by the hashes of its base and its result.
+No I/O.
+
+An entry of the table is called a line: a server and its weight.
+"""
 
 from hashlib import blake2b
 
 
 class Refused(ValueError):
-    """A change that does not fit, and why."""
+    """A change was rejected; the message says why. The table is unchanged."""
 
 
 class Over(Refused):
-    """The change is of an epoch that is over: somebody else has served this proxy since."""
+    """The change is from an older epoch: another controller has served this proxy since."""
 
 
 def content_hash(lines):
-    """BLAKE2b, 16 bytes as hex, over "server weight\\n" in order of servers; weights are whole
-    thousandths."""
-    made = blake2b(digest_size=16)
+    """BLAKE2b, 16 bytes as hex, over "server weight\\n" sorted by server; weights are whole thousandths."""
+    digest = blake2b(digest_size=16)
     for server in sorted(lines):
-        made.update(f"{server} {lines[server]}\n".encode())
-    return made.hexdigest()
+        digest.update(f"{server} {lines[server]}\n".encode())
+    return digest.hexdigest()
 
 
 EMPTY = content_hash({})
 
 
 class Table:
-    """Begins as a standing table, which is nobody's version: the first change of a controller replaces it."""
+    """Starts as a static table (`standing`) without a version, which a controller's first change replaces."""
 
     def __init__(self, standing=()):
         self.lines = dict.fromkeys(standing, 1000)
@@ -34,30 +36,34 @@
         self.changes = self.refusals = 0
 
     def held(self):
-        """server -> weight as a controller may be told on joining: nothing, of a standing table."""
+        """server -> weight as sent to a controller on joining; empty for the static table."""
         return dict(self.lines) if self.name else {}
 
     def take(self, info, changed, removed):
-        """Applies a change: `info` "NAME BASE RESULT", `changed` server -> weight in thousandths, `removed`
-        servers. Answers how many lines it was. Raises Refused, and holds what it held."""
+        """Applies a change and returns its number of lines.
+
+        `info`: "NAME BASE RESULT", the new version and the content hashes before and after; base "-" replaces
+        the table. `changed`: server -> weight in thousandths. `removed`: servers. Raises Refused and leaves
+        the table as it was.
+        """
         try:
             name, base, result = info.split(" ")
         except ValueError:
             raise Refused(f'expected "NAME BASE RESULT", got {info[:80]!r}') from None
         if any(not 0 < weight < 2**32 for weight in changed.values()):
             raise Refused("a weight that is none")
-        # Guards against a controller that believes it still owns this proxy: whoever took over has a later
-        # epoch. Harm: none; the one that is refused learns of it by the refusal.
-        told = name.partition(".")[0]
-        epoch = int(told) if told.isdecimal() and len(told) < 20 else 0
+        # Fences off a controller that believes it still owns this proxy: its successor has a later epoch.
+        # The old controller learns of it by the rejection.
+        epoch_text = name.partition(".")[0]
+        epoch = int(epoch_text) if epoch_text.isdecimal() and len(epoch_text) < 20 else 0
         if epoch < self.epoch:
             self.refusals += 1
             raise Over(f"epoch {epoch} is over, what is held is of {self.epoch}")
-        before = self.held()
-        if base != "-" and base != content_hash(before):
+        held = self.held()
+        if base != "-" and base != content_hash(held):
             self.refusals += 1
-            raise Refused(f"builds on {base}, what is held is {content_hash(before)} {self.name}".rstrip())
-        lines = {} if base == "-" else before
+            raise Refused(f"builds on {base}, what is held is {content_hash(held)} {self.name}".rstrip())
+        lines = {} if base == "-" else held
         lines.update(changed)
         for server in removed:
             lines.pop(server, None)
--- a/foxstep/proxy/upstream.py
+++ b/foxstep/proxy/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to servers: HTTP/2 by `h2`, streams, flow control, and the way in which each try ended."""
+"""Connection pools to the upstream servers: HTTP/2 streams, flow control and how each try failed."""
 
 import asyncio
 
@@ -8,266 +8,295 @@
 import h2.events
 import h2.exceptions
 
-from foxstep.proxy.wired import Wired
+from foxstep.proxy.http2 import Http2Protocol
 
-WINDOW = 256 * 1024
+WINDOW_BYTES = 256 * 1024
 CONFIG = h2.config.H2Configuration(
     client_side=True, header_encoding=None, validate_inbound_headers=False, normalize_outbound_headers=False
 )
 
 
-class Ended(Exception):
-    """A try that has ended without an answer: a way of `tries.PROOF`, and words for the client."""
+class TryFailed(Exception):
+    """A try ended without an answer.
 
-    def __init__(self, ending, text=""):
-        super().__init__(ending, text)
-        self.ending = ending
+    `failure` is a key of `retries.PROVES_NOT_EXECUTED`; `text` is the message for the client.
+    """
+
+    def __init__(self, failure, text=""):
+        super().__init__(failure, text)
+        self.failure = failure
         self.text = text
 
 
 class Try:
-    """One stream of a connection. Its events are ("headers", list), ("data", bytes, counted), ("trailers",
-    list), ("end",) or an Ended; what is not read yet is bounded by the stream's window."""
+    """One try of an op: one stream of a connection.
+
+    Its events are ("headers", list, stream ended), ("data", bytes, flow-controlled length),
+    ("trailers", list), ("end",) or a TryFailed. The stream's flow control window bounds the unread data.
+    """
 
-    def __init__(self, connection, number):
+    def __init__(self, connection, stream_id):
         self.connection = connection
-        self.number = number
+        self.stream_id = stream_id
         self.events = asyncio.Queue()
-        self.window = asyncio.Event()
+        self.window_changed = asyncio.Event()
         self.done = False
-        self.taken_over = False  # the server went, and had taken it
+        self.accepted_before_goaway = False  # a GOAWAY named this stream or a later one as its last
 
-    async def event(self):
+    async def next_event(self):
+        """Waits for the next event. Raises TryFailed if the try failed."""
         event = await self.events.get()
-        if isinstance(event, Ended):
+        if isinstance(event, TryFailed):
             raise event
         return event
 
     def finish(self, event):
+        """Queues the last event, unless the try has ended already."""
         if not self.done:
             self.done = True
             self.events.put_nowait(event)
-            self.window.set()
+            self.window_changed.set()
 
     async def send(self, data, end):
-        """Sends body bytes as the windows let it. Raises Ended when the stream has ended."""
-        wire = self.connection.wire
-        at = 0
+        """Sends body bytes as far as flow control allows. Returns early if the stream has ended."""
+        http2 = self.connection.http2
+        offset = 0
         while True:
             if self.done:
                 return
-            room = min(wire.local_flow_control_window(self.number), wire.max_outbound_frame_size)
-            part = data[at : at + room]
-            at += len(part)
-            last = at >= len(data)
+            window_bytes = min(http2.local_flow_control_window(self.stream_id), http2.max_outbound_frame_size)
+            part = data[offset : offset + window_bytes]
+            offset += len(part)
+            last = offset >= len(data)
             if part or last:
-                wire.send_data(self.number, part, end_stream=end and last)
+                http2.send_data(self.stream_id, part, end_stream=end and last)
                 self.connection.flush()
             if last:
                 return
-            self.window.clear()
-            await self.window.wait()
+            self.window_changed.clear()
+            await self.window_changed.wait()
 
-    def taken(self, counted):
-        """Bytes that went on to the client: only now more may come."""
-        if not self.done and not self.connection.gone:
-            self.connection.wire.acknowledge_received_data(counted, self.number)
+    def acknowledge(self, flow_bytes):
+        """Reopens the window by data that was passed on to the client, so that the server may send more."""
+        if not self.done and not self.connection.closed:
+            self.connection.http2.acknowledge_received_data(flow_bytes, self.stream_id)
             self.connection.flush()
 
     def cancel(self):
+        """Resets the stream if it is still open."""
         if not self.done:
             self.done = True
-            self.connection.drop(self)
-            if not self.connection.gone:
+            self.connection.remove_try(self)
+            if not self.connection.closed:
                 try:
-                    self.connection.wire.reset_stream(self.number, h2.errors.ErrorCodes.CANCEL)
+                    self.connection.http2.reset_stream(self.stream_id, h2.errors.ErrorCodes.CANCEL)
                     self.connection.flush()
                 except h2.exceptions.ProtocolError:
-                    pass  # it ended by itself meanwhile
+                    pass  # the stream has been closed meanwhile
 
 
-class Connection(Wired):
+class Connection(Http2Protocol):
+    """One HTTP/2 connection to a server, with the tries that run on it by stream id."""
+
     def __init__(self, pool):
         super().__init__(h2.connection.H2Connection(config=CONFIG))
         self.pool = pool
         self.tries = {}
-        self.going = False
+        self.draining = False
         self.idle_since = pool.clock()
-        self.most = pool.streams
+        self.max_streams = pool.max_streams
 
     def connection_made(self, transport):
         self.transport = transport
-        self.wire.initiate_connection()
-        self.wire.increment_flow_control_window(16 * WINDOW)
+        self.http2.initiate_connection()
+        self.http2.increment_flow_control_window(16 * WINDOW_BYTES)
         self.flush()
 
-    def start(self, headers, end):
-        """Opens a stream with its headers. Raises Ended("unsent") where nothing could be handed over."""
-        if self.gone or self.going:
-            raise Ended("unsent", "the connection is going")
+    def open_stream(self, headers, end):
+        """Opens a stream with its headers. Raises TryFailed("unsent") if the connection can't take it."""
+        if self.closed or self.draining:
+            raise TryFailed("unsent", "the connection is going")
         try:
-            number = self.wire.get_next_available_stream_id()
-            self.wire.send_headers(number, headers, end_stream=end)
+            stream_id = self.http2.get_next_available_stream_id()
+            self.http2.send_headers(stream_id, headers, end_stream=end)
         except h2.exceptions.ProtocolError as error:
-            raise Ended("unsent", str(error)) from None
-        made = self.tries[number] = Try(self, number)
+            raise TryFailed("unsent", str(error)) from None
+        attempt = self.tries[stream_id] = Try(self, stream_id)
         self.flush()
-        return made
+        return attempt
 
-    def drop(self, made):
-        self.tries.pop(made.number, None)
+    def remove_try(self, attempt):
+        """Frees a stream's slot; closes a draining connection after its last stream."""
+        self.tries.pop(attempt.stream_id, None)
         if not self.tries:
             self.idle_since = self.pool.clock()
-            if self.going:
+            if self.draining:
                 self.close()
-        self.pool.freed()
+        self.pool.notify()
 
     def data_received(self, data):
         try:
-            events = self.wire.receive_data(data)
+            events = self.http2.receive_data(data)
         except h2.exceptions.ProtocolError as error:
             self.flush()
-            self.end_all("reset", f"not HTTP/2: {error}"[:120])
+            self.fail_all("reset", f"not HTTP/2: {error}"[:120])
             self.close()
             return
         for event in events:
-            self.heed(event)
+            self.handle_event(event)
         self.flush()
 
-    def heed(self, event):
+    def handle_event(self, event):
         if isinstance(event, h2.events.ConnectionTerminated):
-            # Streams above the last that the server names never ran; those below may yet be answered.
-            self.going = True
-            for made in [t for t in self.tries.values() if t.number > event.last_stream_id]:
-                self.end(made, Ended("goaway", "the server goes and has not taken it"))
-            for made in self.tries.values():
-                made.taken_over = True
+            # GOAWAY: the server never processed streams above the last id; it may still answer the others.
+            self.draining = True
+            for attempt in [t for t in self.tries.values() if t.stream_id > event.last_stream_id]:
+                self.end(attempt, TryFailed("goaway", "the server goes and has not taken it"))
+            for attempt in self.tries.values():
+                attempt.accepted_before_goaway = True
             if not self.tries:
                 self.close()
         elif isinstance(event, h2.events.RemoteSettingsChanged):
-            self.most = min(self.pool.streams, self.wire.remote_settings.max_concurrent_streams)
-            self.wake()
+            self.max_streams = min(self.pool.max_streams, self.http2.remote_settings.max_concurrent_streams)
+            self.wake_senders()
         elif isinstance(event, h2.events.WindowUpdated):
-            self.wake()
+            self.wake_senders()
         else:
-            made = self.tries.get(getattr(event, "stream_id", None))
-            if made is not None:
-                self.heed_stream(made, event)
+            attempt = self.tries.get(getattr(event, "stream_id", None))
+            if attempt is not None:
+                self.handle_stream_event(attempt, event)
             elif isinstance(event, h2.events.DataReceived) and event.flow_controlled_length:
-                self.wire.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
+                self.http2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
 
-    def heed_stream(self, made, event):
+    def handle_stream_event(self, attempt, event):
         if isinstance(event, h2.events.ResponseReceived):
-            made.events.put_nowait(("headers", event.headers, event.stream_ended is not None))
+            attempt.events.put_nowait(("headers", event.headers, event.stream_ended is not None))
         elif isinstance(event, h2.events.DataReceived):
-            made.events.put_nowait(("data", event.data, event.flow_controlled_length))
+            attempt.events.put_nowait(("data", event.data, event.flow_controlled_length))
         elif isinstance(event, h2.events.TrailersReceived):
-            made.events.put_nowait(("trailers", event.headers))
+            attempt.events.put_nowait(("trailers", event.headers))
         elif isinstance(event, h2.events.StreamEnded):
-            self.end(made, ("end",))
+            self.end(attempt, ("end",))
         elif isinstance(event, h2.events.StreamReset):
             refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
-            self.end(made, Ended("refused-stream" if refused else "reset", f"reset with {event.error_code}"))
+            self.end(
+                attempt, TryFailed("refused-stream" if refused else "reset", f"reset with {event.error_code}")
+            )
 
-    def end(self, made, event):
-        made.finish(event)
-        self.drop(made)
+    def end(self, attempt, event):
+        attempt.finish(event)
+        self.remove_try(attempt)
 
-    def wake(self):
-        for made in self.tries.values():
-            made.window.set()
-        self.pool.freed()
+    def wake_senders(self):
+        for attempt in self.tries.values():
+            attempt.window_changed.set()
+        self.pool.notify()
 
-    def end_all(self, ending, text):
-        for made in list(self.tries.values()):
-            taken = ending == "reset" and made.taken_over
-            made.finish(Ended("goaway-taken" if taken else ending, text))
+    def fail_all(self, failure, text):
+        for attempt in list(self.tries.values()):
+            accepted = failure == "reset" and attempt.accepted_before_goaway
+            attempt.finish(TryFailed("goaway-taken" if accepted else failure, text))
         self.tries.clear()
 
     def connection_lost(self, error):
-        self.gone = True
-        self.end_all("reset", "the connection broke")
-        self.pool.lost(self)
+        self.closed = True
+        self.fail_all("reset", "the connection broke")
+        self.pool.remove(self)
 
     def close(self):
-        if not self.gone:
+        if not self.closed:
             self.write_out()
             self.transport.close()
 
 
 class Pool:
-    """Connections to one server: at most `most`, with at most `streams` ops each, closed after `idle` seconds
-    without one."""
+    """The connections to one server.
+
+    At most `max_connections`, each with at most `max_streams` ops, closed after `idle_timeout` seconds
+    without an op. `connect_timeout` is in seconds.
+    """
 
-    def __init__(self, server, clock, most=4, streams=100, connect=0.25, idle=15.0):
+    def __init__(
+        self, server, clock, max_connections=4, max_streams=100, connect_timeout=0.25, idle_timeout=15.0
+    ):
         self.server = server
         self.clock = clock
-        self.most = most
-        self.streams = streams
-        self.connect = connect
-        self.idle = idle
-        self.open = []
-        self.dialling = 0
-        self.waiting = asyncio.Event()
+        self.max_connections = max_connections
+        self.max_streams = max_streams
+        self.connect_timeout = connect_timeout
+        self.idle_timeout = idle_timeout
+        self.connections = []
+        self.dialing = 0
+        self.changed = asyncio.Event()
         self.opened = 0
         self.closed = False
 
-    async def get(self, within):
-        """A connection with room for an op. Raises Ended: no connection came up in time, which is proof."""
-        deadline = self.clock() + min(within, self.connect)
+    async def get(self, timeout):
+        """A connection with a free stream, within `timeout` seconds and the connect timeout.
+
+        Raises TryFailed if there was none in time, which proves that nothing was sent.
+        """
+        deadline = self.clock() + min(timeout, self.connect_timeout)
         while True:
-            fit = [c for c in self.open if not c.gone and not c.going and len(c.tries) < c.most]
+            fit = [
+                c
+                for c in self.connections
+                if not c.closed and not c.draining and len(c.tries) < c.max_streams
+            ]
             if fit:
                 return min(fit, key=lambda c: len(c.tries))
-            left = deadline - self.clock()
-            if left <= 0 or self.closed:
-                raise Ended("connect-timeout", f"no connection to {self.server} in time")
-            if len(self.open) + self.dialling < self.most:
-                return await self.dial(left)
-            self.waiting.clear()
+            remaining = deadline - self.clock()
+            if remaining <= 0 or self.closed:
+                raise TryFailed("connect-timeout", f"no connection to {self.server} in time")
+            if len(self.connections) + self.dialing < self.max_connections:
+                return await self.dial(remaining)
+            self.changed.clear()
             try:
-                await asyncio.wait_for(self.waiting.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining)
             except TimeoutError:
                 continue
 
-    async def dial(self, left):
+    async def dial(self, remaining):
+        """Opens a connection within `remaining` seconds. Raises TryFailed."""
         host, _, port = self.server.rpartition(":")
-        self.dialling += 1
+        self.dialing += 1
         try:
-            _, made = await asyncio.wait_for(
+            _, connection = await asyncio.wait_for(
                 asyncio.get_running_loop().create_connection(
                     lambda: Connection(self), host.strip("[]"), int(port)
                 ),
-                left,
+                remaining,
             )
         except TimeoutError:
-            raise Ended("connect-timeout", f"no connection to {self.server} in time") from None
+            raise TryFailed("connect-timeout", f"no connection to {self.server} in time") from None
         except OSError as error:
-            raise Ended("refused", f"{self.server}: {error.strerror or error}") from None
+            raise TryFailed("refused", f"{self.server}: {error.strerror or error}") from None
         finally:
-            self.dialling -= 1
-            self.freed()
-        self.open.append(made)
+            self.dialing -= 1
+            self.notify()
+        self.connections.append(connection)
         self.opened += 1
-        return made
+        return connection
 
-    def freed(self):
-        self.waiting.set()
+    def notify(self):
+        """Wakes the callers of `get` that wait for a free stream."""
+        self.changed.set()
 
-    def lost(self, connection):
-        if connection in self.open:
-            self.open.remove(connection)
-        self.freed()
+    def remove(self, connection):
+        if connection in self.connections:
+            self.connections.remove(connection)
+        self.notify()
 
     def close_idle(self):
-        for connection in self.open:
-            if not connection.tries and self.clock() - connection.idle_since > self.idle:
+        """Closes the connections that have been idle for longer than the idle timeout."""
+        for connection in self.connections:
+            if not connection.tries and self.clock() - connection.idle_since > self.idle_timeout:
                 connection.close()
 
     def close(self):
-        """For a server that left the table: what is under way ends, no more begins."""
+        """Drains the pool, for a server that left the table: ops in flight may finish, no new ones start."""
         self.closed = True
-        for connection in list(self.open):
-            connection.going = True
+        for connection in list(self.connections):
+            connection.draining = True
             if not connection.tries:
                 connection.close()
