--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -122,7 +122,7 @@
         return node
 
     def channel(self, address):
-        """The channel to a controller. It is kept, so that a new dial opens three streams and no connection."""
+        """The channel to a controller. Kept, so that a new dial opens three streams and no connection."""
         if address not in self.channels:
             self.channels[address] = grpc.aio.insecure_channel(
                 address,
@@ -249,7 +249,7 @@
         raise EOFError("the controller ended the stream")
 
     def apply_response(self, response):
-        """Applies a response and returns its number of table lines. Raises Refused, having changed nothing."""
+        """Applies a response and returns its number of table lines. Raises Refused, with nothing changed."""
         try:
             return self.apply_parsed(response)
         except DecodeError as error:
@@ -304,7 +304,7 @@
         await call.write(lrs_pb2.LoadStatsRequest(node=self.node()))
         answer = await call.read()
         if answer is grpc.aio.EOF:
-            raise EOFError("the controller ended the load report stream")
+            raise EOFError("the controller wants no load reports")
         self.set_interval(answer)
         self.forwarder.reports.forget()
         async with anyio.create_task_group() as group:
--- a/foxstep/proxy/program.py
+++ b/foxstep/proxy/program.py
@@ -23,7 +23,7 @@
     """One proxy.
 
     `site`: the settings as a dict. `op_types`: dicts with name and gRPC method. `standing`: the servers of
-    the static table. `eject_for`, `stall_per_line` and `redial_delay` are in seconds, `rate` is in ops a second.
+    the static table. `eject_for`, `stall_per_line`, `redial_delay` are in seconds, `rate` in ops a second.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         )
 
     async def run(self, host="127.0.0.1", port=0, drain=2.0, started=lambda port: None):
-        """Runs until cancelled, then gives ops in flight `drain` seconds. `started(port)` is called on start."""
+        """Runs until cancelled, then gives ops in flight `drain` seconds. Calls `started(port)` first."""
         await self.listener.open(host, port)
         started(self.listener.port)
         try:
--- a/foxstep/standins/advised.py
+++ b/foxstep/standins/advised.py
@@ -1,4 +1,4 @@
-"""A stand-in balancer: ops by chance, each to a member by the weights that it was advised."""
+"""A test double of a SASP balancer: sends random ops to servers by the weights that it was advised."""
 
 import grpc
 
@@ -7,8 +7,10 @@
 
 
 class Advised(Caller):
-    """`balancer` follows the advice; one group an op type. Before any came, and where no member has a weight,
-    all members are alike."""
+    """A load client that picks the server itself. `balancer` receives the advice, one group for each op type.
+
+    Without advice, and if no member has a weight, all members are picked alike.
+    """
 
     def __init__(self, ident, address, groups, timeouts, record, clock, seed):
         super().__init__(ident, timeouts, record, clock, seed)
@@ -16,9 +18,10 @@
         self.channels = {}
 
     def channel_for(self, op_type):
+        """The channel to a server drawn by weight."""
         weights = {s: w for s, (w, _) in self.balancer.weights.get(op_type, {}).items() if w}
         weights = weights or dict.fromkeys(self.balancer.groups[op_type], 1)
-        server = self.chance.choices(list(weights), list(weights.values()))[0]
+        server = self.rng.choices(list(weights), list(weights.values()))[0]
         if server not in self.channels:
             self.channels[server] = grpc.aio.insecure_channel(
                 server,
--- a/foxstep/standins/lists.py
+++ b/foxstep/standins/lists.py
@@ -1,4 +1,4 @@
-"""A stand-in list service: endpoint discovery (EDS), seconds late, knowing only of processes."""
+"""A test double of the list service: endpoint discovery (EDS) that lists processes with a delay."""
 
 import time
 
@@ -9,11 +9,11 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.endpoint.v3 import eds_pb2_grpc
 
-KIND = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+ASSIGNMENT_TYPE = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
 
 class ListService(eds_pb2_grpc.EndpointDiscoveryServiceServicer):
-    """`entries`: ident -> (zone, kind, state, started or 0). What is set shows `lag` seconds later."""
+    """`entries`: ident -> (zone, kind, state, start time or 0). Changes show `lag` seconds after `set`."""
 
     def __init__(self, record, clock, lag):
         self.record = record
@@ -29,13 +29,14 @@
         self.pending = []
 
     async def start(self):
+        """Starts the gRPC server on the same port as before, or a free one the first time."""
         self.server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
         eds_pb2_grpc.add_EndpointDiscoveryServiceServicer_to_server(self, self.server)
         self.port = self.server.add_insecure_port(f"127.0.0.1:{self.port}")
         await self.server.start()
 
     def set(self, ident, zone, kind, state, started=0.0, at_once=False):
-        """state: open, draining or gone."""
+        """Sets a server's entry; `state`: open, draining or gone. `at_once` leaves out the delay."""
         entries = dict(self.entries)
         if state == "gone":
             entries.pop(ident, None)
@@ -45,7 +46,7 @@
         self.pending.append((self.clock() + (0 if at_once else self.lag), entries))
 
     async def run(self):
-        """Shows what is due."""
+        """Publishes changes once their delay is over."""
         while True:
             now = self.clock()
             due = [entries for at, entries in self.pending if at <= now]
@@ -58,12 +59,13 @@
             await anyio.sleep(0.05)
 
     def response(self):
-        made = endpoint_pb2.ClusterLoadAssignment(cluster_name="servers")
+        """The EDS response with the entries that are shown now."""
+        assignment = endpoint_pb2.ClusterLoadAssignment(cluster_name="servers")
         groups = {}
         offset = time.time() - self.clock()
         for ident, (zone, kind, state, started) in self.shown.items():
             if zone not in groups:
-                groups[zone] = made.endpoints.add()
+                groups[zone] = assignment.endpoints.add()
                 groups[zone].locality.zone = zone
             endpoint = groups[zone].lb_endpoints.add()
             endpoint.health_status = (
@@ -74,13 +76,14 @@
             address.port_value = int(port)
             facts = endpoint.metadata.filter_metadata["foxstep"]
             facts.update({"kind": kind, "started": started + offset if started else 0})
-        answer = discovery_pb2.DiscoveryResponse(
-            version_info=str(self.version), type_url=KIND, nonce=str(self.version)
+        response = discovery_pb2.DiscoveryResponse(
+            version_info=str(self.version), type_url=ASSIGNMENT_TYPE, nonce=str(self.version)
         )
-        answer.resources.add().Pack(made)
-        return answer
+        response.resources.add().Pack(assignment)
+        return response
 
     async def StreamEndpoints(self, request_iterator, context):
+        """Sends and records the list on connect and after each change; fails while `broken` is set."""
         first = await anext(aiter(request_iterator))
         while True:
             if self.broken:
