--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -249,7 +249,7 @@
         raise EOFError("the controller ended the stream")
 
     def apply_response(self, response):
-        """Applies a response and returns its number of table lines. Raises Refused, with nothing changed."""
+        """Applies a response as a whole and returns its number of table lines. Raises Refused."""
         try:
             return self.apply_parsed(response)
         except DecodeError as error:
--- a/foxstep/proxy/table.py
+++ b/foxstep/proxy/table.py
@@ -43,8 +43,8 @@
         """Applies a change and returns its number of lines.
 
         `info`: "NAME BASE RESULT", the new version and the content hashes before and after; base "-" replaces
-        the table. `changed`: server -> weight in thousandths. `removed`: servers. Raises Refused and leaves
-        the table as it was.
+        the table. `changed`: server -> weight in thousandths. `removed`: servers. Raises Refused and
+        leaves the table as it was.
         """
         try:
             name, base, result = info.split(" ")
--- a/foxstep/standins/tcp_relay.py
+++ b/foxstep/standins/tcp_relay.py
@@ -10,7 +10,7 @@
 class TcpRelay:
     """Relays TCP from `port` to the port `inner`.
 
-    `slow`: seconds by which a new connection is delayed. `open`: the tasks of open connections.
+    `slow`: seconds by which a new connection is delayed. `open`: the open connections' tasks.
     """
 
     def __init__(self):
