--- a/foxstep/proxy/retries.py
+++ b/foxstep/proxy/retries.py
@@ -16,8 +16,8 @@
     "error": False,  # an answer with a status other than OK: it may have run before it failed
     "cut": False,  # the connection or stream broke after the answer had begun
 }
-# Retry modes, set by the controller: no retry; one if the try was provably not executed; one after any failure
-# that is safe to repeat; two of these.
+# Retry modes, set by the controller: no retry; one if the try was provably not executed; one after any
+# failure that is safe to repeat; two of these.
 NEVER, PROVEN, ONCE, TWICE = range(4)
 RETRY_BUDGET_RATIO = 0.2  # retries that each first try adds to the budget
 MAX_RETRY_BUDGET = 10.0  # retries that can be saved up
