--- a/foxstep/drills/audit.py
+++ b/foxstep/drills/audit.py
@@ -591,18 +591,18 @@
         """Names of the balancers that got advice over SASP, in order of their first message."""
         return list(dict.fromkeys(row["proxy"] for row in self.rows["advised"]))
 
-    def service(self, stretch=10.0):
+    def service(self, interval_s=10.0):
         """Earnings of ops as a fraction of the earnings they could bring.
 
         An op earns fully if acked within its target latency, and partly if acked later. Keys are (op type,
-        "all" or "all advised"; number of the interval of `stretch` seconds, or "all").
+        "all" or "all advised"; number of the interval of `interval_s` seconds, or "all").
         """
         possible, earned, advised = Counter(), Counter(), set(self.advised_balancers())
         settings = {o["name"]: o for o in self.site["op_types"]}
         for row in self.rows["op"]:
             if not self.begin <= row["began"] <= self.end - 1.0:
                 continue
-            op_type, interval = settings[row["op_type"]], int((row["began"] - self.begin) // stretch)
+            op_type, interval = settings[row["op_type"]], int((row["began"] - self.begin) // interval_s)
             in_time = row["outcome"] == "acked" and row["took"] <= op_type["target_latency"] * US_TO_S
             late = row["outcome"] == "acked" and not in_time
             earnings = op_type["earnings"] * (in_time + late * op_type.get("late_part", 0.0))
