--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -140,7 +140,7 @@
             host.store.close()
             for writer in capture_writers:
                 writer.close()
-        log.info("stopped", orders=host.orders, messages=host.channel.sent_messages)
+        log.info("stopped", orders=host.order_count, messages=host.channel.sent_messages)
 
 
 def run(
--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -244,7 +244,7 @@
             if verb == "heard":
                 server, zone, tries, aborted, latency, window, load = fields
                 controller.heard(now, server, zone, tries, aborted, latency, window, load)
-                evidence.met(now, tries, aborted, latency * (tries - aborted))
+                evidence.record_tries(now, tries, aborted, latency * (tries - aborted))
             else:
                 controller.used(now, *fields)
         return lines
--- a/foxstep/live/channel.py
+++ b/foxstep/live/channel.py
@@ -23,7 +23,7 @@
         self.waiting = 0  # lines in the queue
         self.sending, self.free_at = 0, 0  # lines being sent, and when the last of them is out
         self.write_times = {}  # proxy -> deque of write times within the window
-        self.sent_lines = self.sent_messages = self.most_waiting = 0
+        self.sent_lines = self.sent_messages = self.max_waiting = 0
 
     def drop(self, proxy):
         """Discards what waits for a proxy whose stream broke or is new, and resets its message count."""
@@ -42,7 +42,7 @@
             return
         queued = self.queue.get(proxy)
         if proxy in self.deferred:
-            self.deferred[proxy].fold(message)
+            self.deferred[proxy].merge(message)
             self.queue_deferred(now)
         elif queued is None and self.fits(now, message.cost):
             self.queue[proxy] = message
@@ -51,11 +51,11 @@
             self.merge(queued, message)
         else:
             self.deferred[proxy] = message
-        self.most_waiting = max(self.most_waiting, self.lines_waiting(now))
+        self.max_waiting = max(self.max_waiting, self.lines_waiting(now))
 
     def merge(self, queued, message):
         self.waiting -= queued.cost
-        queued.fold(message)
+        queued.merge(message)
         self.waiting += queued.cost
 
     def fits(self, now, lines):
@@ -77,7 +77,7 @@
             else:
                 self.queue[proxy] = message
                 self.waiting += message.cost
-        self.most_waiting = max(self.most_waiting, self.lines_waiting(now))
+        self.max_waiting = max(self.max_waiting, self.lines_waiting(now))
 
     def next_write_at(self, now, proxy):
         """When the limit on messages to one proxy permits the next one: `now` or a later time."""
--- a/foxstep/live/book.py
+++ b/foxstep/live/desired_state.py
@@ -16,28 +16,28 @@
     __slots__ = (
         "proxy",
         "ordered_at",
-        "first_at",
+        "first_ordered_at",
         "tables",
         "lines",
         "levels",
-        "shut",
+        "withdrawn",
         "emptied",
         "marks",
         "whole",
         "head",
-        "meant",
+        "target_table",
     )
 
     def __init__(self, proxy, ordered_at, head):
-        self.proxy, self.ordered_at, self.first_at, self.head = proxy, ordered_at, ordered_at, head
+        self.proxy, self.ordered_at, self.first_ordered_at, self.head = proxy, ordered_at, ordered_at, head
         self.tables = {}  # op type index -> table, where bindings change
         self.lines = {}  # (table, server) -> weight; 0 removes the line
         self.levels = {}  # (table, op type index) -> (quota, tries)
-        self.shut = {}  # server -> True: withdrawn, False: back
+        self.withdrawn = {}  # server -> True: withdrawn, False: back
         self.emptied = {}  # tables to empty before the lines are applied; an ordered set
         self.marks = []  # (number, ordered at)
         self.whole = False  # replaces all that the proxy holds
-        self.meant = None  # the proxy's ledger.Table once this message is applied
+        self.target_table = None  # the proxy's ledger.Table once this message is applied
 
     @property
     def cost(self):
@@ -47,16 +47,16 @@
             + self.whole
             + len(self.lines)
             + len(self.levels)
-            + len(self.shut)
+            + len(self.withdrawn)
             + len(self.emptied)
             + len(self.marks)
         )
 
-    def fold(self, later):
+    def merge(self, later):
         """Merges a later message for the same proxy; for each key the later value is kept."""
         if later.whole:
             self.tables, self.lines, self.levels = {}, {}, {}
-            self.shut, self.emptied, self.whole = {}, {}, True
+            self.withdrawn, self.emptied, self.whole = {}, {}, True
         for table in later.emptied:
             self.lines = {key: weight for key, weight in self.lines.items() if key[0] != table}
             self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
@@ -64,10 +64,10 @@
         self.tables.update(later.tables)
         self.lines.update(later.lines)
         self.levels.update(later.levels)
-        self.shut.update(later.shut)
+        self.withdrawn.update(later.withdrawn)
         # The newest mark is enough: its answer confirms everything that was sent before it.
         self.marks = (self.marks + later.marks)[-1:]
-        self.ordered_at, self.meant = later.ordered_at, later.meant or self.meant
+        self.ordered_at, self.target_table = later.ordered_at, later.target_table or self.target_table
 
 
 class Holding:
@@ -75,12 +75,12 @@
 
     def __init__(self, op_type_count):
         self.tables = [None] * op_type_count
-        self.lines, self.levels, self.shut = {}, {}, {}
-        self.meant = None  # the ledger.Table that the lines belong to
+        self.lines, self.levels, self.withdrawn = {}, {}, {}
+        self.target_table = None  # the ledger.Table that the lines belong to
 
     def apply(self, message):
         if message.whole:
-            self.lines, self.levels, self.shut = {}, {}, {}
+            self.lines, self.levels, self.withdrawn = {}, {}, {}
         for table in message.emptied:
             self.lines.pop(table, None)
             self.levels.pop(table, None)
@@ -93,19 +93,19 @@
                 self.lines.get(table, {}).pop(server, None)
         for (table, index), level in message.levels.items():
             self.levels.setdefault(table, {})[index] = level
-        for server, withdrawn in message.shut.items():
+        for server, withdrawn in message.withdrawn.items():
             if withdrawn:
-                self.shut[server] = None
+                self.withdrawn[server] = None
             else:
-                self.shut.pop(server, None)
-        self.meant = message.meant or self.meant
+                self.withdrawn.pop(server, None)
+        self.target_table = message.target_table or self.target_table
 
     def lines_of(self, index):
         """Server -> weight that may be picked for an op type; None if no table is bound to the op type."""
         table = self.tables[index]
         if table is None:
             return None
-        return {s: w for s, w in self.lines.get(table, {}).items() if s not in self.shut}
+        return {s: w for s, w in self.lines.get(table, {}).items() if s not in self.withdrawn}
 
     def level_of(self, index):
         """(quota, tries) for an op type, with the lower quota of its table and `EVERYONE`; None if unset."""
@@ -116,7 +116,7 @@
         return min(own[0], common[0]), own[1]
 
 
-class Book:
+class DesiredState:
     """All tables as ordered, the proxies bound to them, and the messages of the current batch of orders."""
 
     def __init__(self, op_type_count, head):
@@ -181,7 +181,7 @@
             message = self.batch_message(proxy, now)
             message.lines[table, server] = weight
             if weight and server in self.withdrawn and server not in self.withdrawn_by_proxy[proxy]:
-                message.shut[server] = self.withdrawn_by_proxy[proxy][server] = True
+                message.withdrawn[server] = self.withdrawn_by_proxy[proxy][server] = True
 
     def empty(self, now, table):
         self.lines.pop(table, None)
@@ -189,7 +189,7 @@
         for proxy in self.proxies_of(table):
             emptied = Message(proxy, now, self.head)
             emptied.emptied[table] = None
-            self.batch_message(proxy, now).fold(emptied)
+            self.batch_message(proxy, now).merge(emptied)
 
     def admit(self, now, table, mask, quota, tries):
         indexes = self.op_type_indexes(mask)
@@ -209,9 +209,11 @@
         for proxy, tables in self.bindings.items():
             has_server = any(server in self.lines.get(table, {}) for table in tables if table is not None)
             if withdrawn and has_server:
-                self.batch_message(proxy, now).shut[server] = self.withdrawn_by_proxy[proxy][server] = True
+                self.batch_message(proxy, now).withdrawn[server] = self.withdrawn_by_proxy[proxy][server] = (
+                    True
+                )
             elif not withdrawn and self.withdrawn_by_proxy[proxy].pop(server, False):
-                self.batch_message(proxy, now).shut[server] = False
+                self.batch_message(proxy, now).withdrawn[server] = False
 
     def bind(self, now, proxy, table, mask):
         """Binds a joined proxy to a table; everything that it is then to hold is sent to it again."""
@@ -237,8 +239,8 @@
             message.levels.update(
                 ((table, k), level) for k, level in self.levels.get(table, {}).items() if tables[k] == table
             )
-            message.shut.update((s, True) for s in self.withdrawn if s in self.lines.get(table, {}))
-        self.withdrawn_by_proxy[proxy] = dict(message.shut)
+            message.withdrawn.update((s, True) for s in self.withdrawn if s in self.lines.get(table, {}))
+        self.withdrawn_by_proxy[proxy] = dict(message.withdrawn)
         self.unaddressed.pop(proxy, None)
         message.levels.update(((EVERYONE, k), level) for k, level in self.levels.get(EVERYONE, {}).items())
         return message
--- a/foxstep/live/host.py
+++ b/foxstep/live/host.py
@@ -1,6 +1,6 @@
 """Runs one decision module: calls its inputs as events arrive and carries out its orders.
 
-Fronts call the inputs below from the event loop and pass an `Outlet` for each stream. Its
+Fronts call the inputs below from the event loop and pass a `ProxyStream` for each stream. Its
 `deliver(holding, message)` must not block: it only notes that the proxy is to be written. This module knows
 no wire protocol and makes no decisions: orders of the decision module go to the channel, and what the channel
 releases is written.
@@ -17,29 +17,29 @@
 import structlog
 
 from foxstep.balance import Controller
-from foxstep.live.book import Book, Holding, Message
 from foxstep.live.channel import Channel
+from foxstep.live.desired_state import DesiredState, Holding, Message
 
 SECOND_US = 1_000_000
 MAX_LOGGED_CAUSES = 12  # inputs that the log names as the cause of one batch of orders
 
 
-class Outlet(Protocol):
+class ProxyStream(Protocol):
     """The stream of one proxy, as its front implements it."""
 
     def deliver(self, holding: Holding, message: Message) -> None: ...
 
     def end(self, reason: str) -> None: ...
 
-    # If true, the outlet also has `send_home(address)`: it ends the stream, and the proxy dials that address.
-    goes_home: bool
+    # If true, the stream also has `redirect(address)`: it ends the stream, and the proxy dials that address.
+    accepts_redirect: bool
 
 
-class Joined:
+class JoinedProxy:
     """A client with an open stream: a proxy or, if `rate` is None, an advised balancer."""
 
-    def __init__(self, ident, zone, rate, outlet):
-        self.ident, self.zone, self.rate, self.outlet = ident, zone, rate, outlet
+    def __init__(self, ident, zone, rate, stream):
+        self.ident, self.zone, self.rate, self.stream = ident, zone, rate, stream
         self.delivered = self.accepted = self.refused = 0
         self.last_refusal = ""
 
@@ -64,8 +64,8 @@
         self.controller = make(now, module_site, seed)
         self.op_type_count = len(site["op_types"])
         self.effects = [o["effect"] for o in site["op_types"]]
-        self.names = [o["name"] for o in site["op_types"]]
-        self.book = Book(self.op_type_count, int(site["head"]))
+        self.op_type_names = [o["name"] for o in site["op_types"]]
+        self.desired_state = DesiredState(self.op_type_count, int(site["head"]))
         lines_per_s = site["lines_per_s"] / (8 if "queue" in self.disabled_guards else 1)
         self.channel = Channel(
             lines_per_s,
@@ -74,19 +74,19 @@
             site["messages_window"],
             bounded="queue" not in self.disabled_guards,
         )
-        self.listed_lines, self.told_at = {}, {}  # server -> its list line; since when it is as listed
-        self.shaded = {}  # server -> the line that replaces its list line (see `shade`)
-        self.joins = {}  # ident -> Joined
+        self.listed_lines, self.state_since = {}, {}  # server -> its list line; since when it is as listed
+        self.line_overrides = {}  # server -> the line that replaces its list line (see `override_lines`)
+        self.joined_proxies = {}  # ident -> JoinedProxy
         self.timers, self.timer_count = [], count()
         self.retry_orders_at = None
         self.run_requested = anyio.Event()
-        self.causes, self.orders = [], 0
+        self.causes, self.order_count = [], 0
         self.last_note = ""
         self.probe = self.watch = self.fetch = self.tell = lambda *_: None
         max_timeout = max((o["op_timeout"] for o in site["op_types"]), default=0)
-        self.keep_gone = site["grace"] + max_timeout + site.get("transit_most", 0) + 2 * site["cycle"]
+        self.gone_retention_us = site["grace"] + max_timeout + site.get("transit_most", 0) + 2 * site["cycle"]
 
-    def stir(self, cause):
+    def request_run(self, cause):
         """Requests a turn; the log names `cause` with the orders that follow."""
         if len(self.causes) < MAX_LOGGED_CAUSES:
             self.causes.append(cause)
@@ -107,17 +107,17 @@
             for ident, line in self.listed_lines.items():
                 if ident not in listed and line[4] != "gone":
                     self.listed_lines[ident] = (*line[:4], "gone", *line[5:])
-                    self.told_at[ident] = self.clock()
-                    self.shaded.pop(ident, None)
+                    self.state_since[ident] = self.clock()
+                    self.line_overrides.pop(ident, None)
         for line in lines:
             known = self.listed_lines.get(line[0])
             if known is None or known[4] != line[4] or abs(known[6] - line[6]) > self.site["cycle"]:
-                self.told_at[line[0]] = 0 if how == "remembered" else self.clock()
-                self.shaded.pop(line[0], None)
+                self.state_since[line[0]] = 0 if how == "remembered" else self.clock()
+                self.line_overrides.pop(line[0], None)
         self.listed_lines.update((line[0], line) for line in lines)
-        self.controller.listed(self.clock(), how, [self.shaded.get(line[0], line) for line in lines])
+        self.controller.listed(self.clock(), how, [self.line_overrides.get(line[0], line) for line in lines])
         self.forget_gone()
-        self.stir(f"listed {how} {len(lines)}")
+        self.request_run(f"listed {how} {len(lines)}")
 
     def forget_gone(self):
         """Forgets servers that have been gone for longer than any report about them can be under way.
@@ -125,76 +125,76 @@
         This bounds the memory if a list names ever new servers. The drawback: later reports about a forgotten
         server are ignored.
         """
-        before = self.clock() - self.keep_gone
+        before = self.clock() - self.gone_retention_us
         for ident in [i for i, line in self.listed_lines.items() if line[4] == "gone"]:
-            if self.told_at[ident] < before:
-                del self.listed_lines[ident], self.told_at[ident]
+            if self.state_since[ident] < before:
+                del self.listed_lines[ident], self.state_since[ident]
 
-    def joined(self, ident, zone, rate, fresh, outlet, held_version=""):
+    def joined(self, ident, zone, rate, fresh, stream, held_version=""):
         """A proxy's stream is up; `held_version` is the version that it says it holds.
 
         An older stream with the same id is ended and its queue discarded.
         """
-        self.register(ident, zone, rate, outlet, held_version)
-        self.book.join(ident)
+        self.register(ident, zone, rate, stream, held_version)
+        self.desired_state.join(ident)
         self.controller.joined(self.clock(), ident, zone, rate, fresh)
-        self.stir(f"joined {ident}")
+        self.request_run(f"joined {ident}")
 
-    def register(self, ident, zone, rate, outlet, held_version):
-        older = self.joins.pop(ident, None)
+    def register(self, ident, zone, rate, stream, held_version):
+        older = self.joined_proxies.pop(ident, None)
         if older:
             self.log.info("joined twice", proxy=ident)
-            older.outlet.end("a newer stream of the same proxy is up")
+            older.stream.end("a newer stream of the same proxy is up")
             self.discard(older)
-        self.joins[ident] = Joined(ident, zone, rate, outlet)
+        self.joined_proxies[ident] = JoinedProxy(ident, zone, rate, stream)
 
     def discard(self, joined):
         """Drops what waits for a stream that has ended."""
         self.channel.drop(joined.ident)
-        self.book.leave(joined.ident)
+        self.desired_state.leave(joined.ident)
         if joined.rate is not None:
             self.controller.left(self.clock(), joined.ident)
 
-    def joined_through(self, ident, outlet):
-        """The `Joined` of this outlet; None if a newer stream has replaced it."""
-        joined = self.joins.get(ident)
-        return joined if joined is not None and joined.outlet is outlet else None
+    def joined_through(self, ident, stream):
+        """The `JoinedProxy` of this stream; None if a newer stream has replaced it."""
+        joined = self.joined_proxies.get(ident)
+        return joined if joined is not None and joined.stream is stream else None
 
-    def left(self, ident, outlet, reason=""):
+    def left(self, ident, stream, reason=""):
         """A stream broke. Nothing changes if a newer one has replaced it."""
-        joined = self.joined_through(ident, outlet)
+        joined = self.joined_through(ident, stream)
         if joined:
-            del self.joins[ident]
+            del self.joined_proxies[ident]
             self.discard(joined)
             self.log.info("left", proxy=ident, reason=reason)
-            self.stir(f"left {ident}")
+            self.request_run(f"left {ident}")
 
-    def took(self, ident, outlet, number, duration):
+    def mark_applied(self, ident, stream, number, duration):
         """A proxy has applied the message with this mark and all before it, `duration` after the order."""
-        joined = self.joined_through(ident, outlet)
+        joined = self.joined_through(ident, stream)
         if joined:
             joined.accepted += 1
             self.controller.applied(self.clock(), ident, number, duration)
-            self.stir(f"applied {ident}")
+            self.request_run(f"applied {ident}")
 
     def heard(self, server, zone, tries, aborted, latency, window, load):
         """Results of the joined proxies of a zone at a server, summed by a collector."""
         self.controller.heard(self.clock(), server, zone, tries, aborted, latency, window, load)
-        self.stir(f"heard {zone}")
+        self.request_run(f"heard {zone}")
 
     def used(self, ident, op_type, ops, unanswered, window):
         """Ops that arrived at a proxy, summed by the proxy itself."""
         self.controller.used(self.clock(), ident, op_type, ops, unanswered, window)
-        self.stir(f"used {ident}")
+        self.request_run(f"used {ident}")
 
     def probed(self, server, outcome, duration, load):
         self.controller.probed(self.clock(), server, outcome, duration, load)
-        self.stir(f"probed {server} {outcome}")
+        self.request_run(f"probed {server} {outcome}")
 
     def told(self, peer, payload):
         """A note from another controller."""
         self.controller.told(self.clock(), peer, payload)
-        self.stir(f"note from {peer}")
+        self.request_run(f"note from {peer}")
 
     # -- orders ----------------------------------------------------------------------------------------------
 
@@ -222,20 +222,20 @@
                 self.last_note = args[0]
                 self.log.info("period", note=args[0], waiting=self.channel.lines_waiting(now))
             elif verb == "weigh":
-                self.book.weigh(now, *args)
+                self.desired_state.weigh(now, *args)
             elif verb == "admit":
                 table, mask, quota, tries = args
-                for index in self.book.op_type_indexes(mask):
-                    self.book.admit(now, table, 1 << index, quota, self.allowed_tries(index, tries))
+                for index in self.desired_state.op_type_indexes(mask):
+                    self.desired_state.admit(now, table, 1 << index, quota, self.allowed_tries(index, tries))
             elif verb == "bind":
                 if "bare" not in self.disabled_guards:
-                    self.book.bind(now, *args)
+                    self.desired_state.bind(now, *args)
             elif verb == "withdraw":
-                self.book.withdraw(now, *args)
+                self.desired_state.withdraw(now, *args)
             elif verb == "empty":
-                self.book.empty(now, *args)
+                self.desired_state.empty(now, *args)
             elif verb == "mark":
-                self.book.mark(now, *args)
+                self.desired_state.mark(now, *args)
             elif verb == "probe":
                 self.probe(*args)
             elif verb == "watch":
@@ -246,7 +246,7 @@
                 self.tell(*args)
             else:
                 self.log.error("order not carried out", verb=verb)
-        messages = self.shape(now, self.book.close_batch())
+        messages = self.shape(now, self.desired_state.close_batch())
         for message in messages:
             self.channel.offer(now, message)
         if messages:
@@ -263,10 +263,10 @@
                     proxy=message.proxy,
                     whole=message.whole,
                     lines={server: weight for (_, server), weight in message.lines.items()},
-                    levels=[(self.names[k], *level) for (_, k), level in message.levels.items()],
+                    levels=[(self.op_type_names[k], *level) for (_, k), level in message.levels.items()],
                 )
         self.causes = []
-        self.orders += order_count
+        self.order_count += order_count
         return order_count
 
     def shape(self, now, messages):
@@ -276,18 +276,18 @@
     def send_due(self, now):
         """Writes the messages that the channel releases by now."""
         while (message := self.channel.take(now)) is not None:
-            joined = self.joins.get(message.proxy)
+            joined = self.joined_proxies.get(message.proxy)
             # The module may now order what it held back while the channel was full: it is asked again soon.
             self.retry_orders_at = self.retry_orders_at or now + self.site["cycle"] // 10
             if joined is None:
                 continue
             if "drain" in self.disabled_guards and not message.whole:
                 message.lines = {key: weight for key, weight in message.lines.items() if weight}
-            holding = self.book.holdings[message.proxy]
+            holding = self.desired_state.holdings[message.proxy]
             holding.apply(message)
             joined.delivered += 1
             self.sent(now, message)
-            joined.outlet.deliver(holding, message)
+            joined.stream.deliver(holding, message)
 
     def sent(self, now, message):
         """Called for each message that leaves."""
@@ -298,11 +298,11 @@
         while self.timers and self.timers[0][0] <= now:
             mark = heapq.heappop(self.timers)[2]
             self.controller.woken(now, mark)
-            self.stir(f"woken {mark}")
+            self.request_run(f"woken {mark}")
         self.run_periodic(now)
         if self.retry_orders_at and now >= self.retry_orders_at:
             self.retry_orders_at = None
-            self.stir("room")
+            self.request_run("room")
         if self.causes:
             self.carry_out(now)
         self.send_due(now)
--- a/foxstep/live/reader.py
+++ b/foxstep/live/reader.py
@@ -11,12 +11,12 @@
 class Reader:
     """`intake` says which report is read next.
 
-    `read`: kind -> read(now, proxy, report, step, first, lost), a function of a front that turns a
+    `handlers`: kind -> handler(now, proxy, report, step, first, lost), a function of a front that turns a
     report into calls on the intake.
     """
 
     def __init__(self, intake):
-        self.intake, self.read, self.report_queued = intake, {}, anyio.Event()
+        self.intake, self.handlers, self.report_queued = intake, {}, anyio.Event()
 
     def offer(self, now, proxy, zone, kind, report, lines):
         self.intake.offer(now, proxy, zone, kind, report, lines)
@@ -28,7 +28,7 @@
         began = before = time.thread_time()
         while (found := self.intake.next_report()) is not None:
             received_at, proxy, kind, report, lines, step, first, lost = found
-            self.read[kind](received_at, proxy, report, step, first, lost)
+            self.handlers[kind](received_at, proxy, report, step, first, lost)
             now = time.thread_time()
             self.intake.pace.record_cost(lines // step, (now - before) * 1e6)
             if now - began > SLICE_S:
--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -10,7 +10,7 @@
 from foxstep.live.reader import Reader
 from foxstep.live.repair import Repairs
 from foxstep.store.store import NullStore, Store
-from foxstep.tables.desk import ADVICE, Desk
+from foxstep.tables.manager import ADVICE, TableManager
 from foxstep.tables.version import Version
 
 
@@ -35,12 +35,12 @@
         self.epoch = self.store.epoch
         super().__init__(site, seed, clock, wall, disabled_guards, make)
         self.intake = Intake(site, self.listed_lines.__contains__, self.held_servers, reading, seed)
-        self.reader, self.asked_anew = Reader(self.intake), lambda: None
+        self.reader, self.on_report_interval_changed = Reader(self.intake), lambda: None
         self.latencies = Latencies(site["cycle"])
         self.repairs = Repairs(site["cycle"] // 2)
-        self.desk = Desk(site, self.epoch)
-        self.desk.restore(self.store.entries, self.store.rollbacks, self.store.holders)
-        self.desk.on_entry, self.desk.on_rollback = self.store.entry, self.store.rollback
+        self.table_manager = TableManager(site, self.epoch)
+        self.table_manager.restore(self.store.entries, self.store.rollbacks, self.store.holders)
+        self.table_manager.on_entry, self.table_manager.on_rollback = self.store.entry, self.store.rollback
         now = clock()
         self.next_cycle_at, self.next_rollback_check_at = now + site["cycle"], now
         self.on_joined = self.on_left = lambda *_: None  # set where controllers share the fleet
@@ -63,90 +63,90 @@
             ]
             self.store.list(kept)
 
-    def shade(self, shaded, lines):
+    def override_lines(self, line_overrides, lines):
         """Replaces list lines of servers of which other controllers know something newer than this list.
 
-        `shaded`: server -> the line that replaces its list line. `lines`: those of them that the
+        `line_overrides`: server -> the line that replaces its list line. `lines`: those of them that the
         decision module is to be told now, in place of what it was told before.
         """
-        self.shaded = shaded
+        self.line_overrides = line_overrides
         if lines:
             self.controller.listed(self.clock(), "changes", lines)
-            self.stir(f"{len(lines)} list lines from peers")
+            self.request_run(f"{len(lines)} list lines from peers")
 
     def learnt(self, facts):
         """What other controllers, or the previous process, knew of servers: (server, weight, withdrawn)."""
         for fact in facts:
             self.controller.learnt(self.clock(), *fact)
         if facts:
-            self.stir(f"learnt {len(facts)}")
+            self.request_run(f"learnt {len(facts)}")
 
     def inherited(self, capacity):
         """Capacity in ops a second that came with proxies of other controllers; below 0: went with them."""
         self.log.info("inherited", part=round(capacity, 1), capacity=self.controller.capacity)
         self.controller.inherited(self.clock(), capacity)
-        self.stir("inherited")
+        self.request_run("inherited")
 
-    def joined(self, ident, zone, rate, fresh, outlet, held_version=""):
-        super().joined(ident, zone, rate, fresh, outlet, held_version)
+    def joined(self, ident, zone, rate, fresh, stream, held_version=""):
+        super().joined(ident, zone, rate, fresh, stream, held_version)
         self.on_joined(ident, rate)
 
-    def enrolled(self, ident, zone, outlet, held_version=""):
+    def enrolled(self, ident, zone, stream, held_version=""):
         """The stream of a balancer that asks for advice on servers that it names itself is up.
 
         The decision module does not know of it: its messages are computed from the module's weights of the
         servers (`foxstep/advice/`).
         """
-        self.register(ident, zone, None, outlet, held_version)
-        self.book.enroll(ident)
-        self.advise(ident, outlet, {})
-        self.stir(f"enrolled {ident}")
+        self.register(ident, zone, None, stream, held_version)
+        self.desired_state.enroll(ident)
+        self.advise(ident, stream, {})
+        self.request_run(f"enrolled {ident}")
 
-    def advise(self, ident, outlet, groups):
+    def advise(self, ident, stream, groups):
         """The complete set of groups that an advised balancer wants advice on.
 
         `groups`: group -> {server: whether it asked for no new work}. Group names contain no blank.
         """
-        if self.joined_through(ident, outlet):
-            self.desk.enroll(ident, groups)
-            self.stir(f"groups of {ident}")
+        if self.joined_through(ident, stream):
+            self.table_manager.enroll(ident, groups)
+            self.request_run(f"groups of {ident}")
 
     def held_servers(self, ident):
         """Servers of the tables that a proxy was written, or None if it has none of ours."""
-        holding = self.book.holdings.get(ident)
+        holding = self.desired_state.holdings.get(ident)
         if holding is None or all(table is None for table in holding.tables):
             return None
         return {server for lines in holding.lines.values() for server in lines}
 
-    def register(self, ident, zone, rate, outlet, held_version):
+    def register(self, ident, zone, rate, stream, held_version):
         try:
             held = Version.parse(held_version) if held_version else None
         except ValueError:
             held = None  # written by some other control server; it tells nothing
-        super().register(ident, zone, rate, outlet, held_version)
-        if self.desk.ledger.epoch < (held.epoch if held else 0):
+        super().register(ident, zone, rate, stream, held_version)
+        if self.table_manager.ledger.epoch < (held.epoch if held else 0):
             self.log.warning("outranked", proxy=ident, holds=str(held))
-        self.desk.ledger.joined(ident, held)
+        self.table_manager.ledger.joined(ident, held)
         self.repairs.forget(ident)
 
     def discard(self, joined):
         super().discard(joined)
-        self.desk.left(joined.ident)
+        self.table_manager.left(joined.ident)
         self.repairs.forget(joined.ident)
         self.intake.remove_proxy(joined.ident, joined.zone)
 
-    def left(self, ident, outlet, reason=""):
-        joined = self.joined_through(ident, outlet)
-        super().left(ident, outlet, reason)
+    def left(self, ident, stream, reason=""):
+        joined = self.joined_through(ident, stream)
+        super().left(ident, stream, reason)
         if joined and joined.rate is not None:
             self.on_left(ident, joined.rate)
 
-    def applied(self, ident, outlet, marks, order_times=(), version=None):
+    def applied(self, ident, stream, marks, order_times=(), version=None):
         """A proxy has accepted a delivered message, which carried these marks, and all before it.
 
         `order_times`: when the accepted orders were given. `version`: that of the accepted table, as written.
         """
-        joined = self.joined_through(ident, outlet)
+        joined = self.joined_through(ident, stream)
         if joined is None:
             return
         joined.accepted += 1
@@ -154,87 +154,91 @@
         now = self.clock()
         if version:
             accepted = Version.parse(version)
-            if self.desk.ledger.accepted(ident, accepted):
+            if self.table_manager.ledger.accepted(ident, accepted):
                 self.store.holder(ident, accepted)
-            self.desk.evidence.record_answer(now, refused=False)
-            if self.desk.has_running_rollback():
-                self.stir(f"accepted {ident} {version}")
+            self.table_manager.evidence.record_answer(now, refused=False)
+            if self.table_manager.has_running_rollback():
+                self.request_run(f"accepted {ident} {version}")
         for at in order_times:
             self.order_to_answer.record_value(max(now - at, 1))
         for number, ordered_at in marks:
             self.controller.applied(now, ident, number, now - ordered_at)
         if marks:
-            self.stir(f"applied {ident}")
+            self.request_run(f"applied {ident}")
 
-    def refused(self, ident, outlet, reason, version=None):
+    def refused(self, ident, stream, reason, version=None):
         """A proxy keeps its old table. When the repair is due, the module is told that it joined anew."""
-        joined = self.joined_through(ident, outlet)
+        joined = self.joined_through(ident, stream)
         if joined is None:
             return
         joined.refused += 1
         joined.last_refusal = reason[:300]
         if version:
-            self.desk.ledger.refused(ident, Version.parse(version), reason)
-            self.desk.evidence.record_answer(self.clock(), refused=True)
+            self.table_manager.ledger.refused(ident, Version.parse(version), reason)
+            self.table_manager.evidence.record_answer(self.clock(), refused=True)
         due = self.repairs.refused(self.clock(), ident)
         self.log.warning(
             "refused", proxy=ident, reason=reason[:300], repair_in_ms=(due - self.clock()) // 1000
         )
-        self.stir(f"refused {ident}")
+        self.request_run(f"refused {ident}")
 
     # -- orders ----------------------------------------------------------------------------------------------
 
     def shape(self, now, messages):
-        zones = {ident: joined.zone for ident, joined in self.joins.items()}
+        zones = {ident: joined.zone for ident, joined in self.joined_proxies.items()}
         standing = self.controller.server_weights()
         allowed = {server: weight / usual for server, (weight, usual, _) in standing.items() if weight}
         waiting = self.channel.lines_waiting(now) + sum(message.cost for message in messages)
-        return self.desk.shape(
+        return self.table_manager.shape(
             now,
             messages,
-            self.book,
+            self.desired_state,
             zones,
             allowed,
             "; ".join(self.causes),
-            standing if self.desk.advice.balancers else None,
+            standing if self.table_manager.advice.balancers else None,
             waiting,
         )
 
     def sent(self, now, message):
-        if message.meant:
-            self.desk.ledger.sent(now, message.proxy, message.meant.version)
+        if message.target_table:
+            self.table_manager.ledger.sent(now, message.proxy, message.target_table.version)
 
     def run_periodic(self, now):
         if now >= self.next_cycle_at:
             self.max_lag = max(self.max_lag, now - self.next_cycle_at)
             self.next_cycle_at = max(self.next_cycle_at + self.site["cycle"], now + self.site["cycle"] // 2)
             if self.channel.deferred:  # the channel cannot take what was ordered: no version to roll back to
-                self.desk.evidence.record_rule_violation(now)
+                self.table_manager.evidence.record_rule_violation(now)
             self.latencies.rotate(now)
             asked = self.intake.pace.requested_interval
-            if self.intake.round(self.controller, now, self.desk.evidence):
-                self.stir("reports")
+            if self.intake.round(self.controller, now, self.table_manager.evidence):
+                self.request_run("reports")
             if asked != self.intake.pace.requested_interval:
                 self.log.info(
                     "reports asked for",
                     every_ms=self.intake.pace.requested_interval // 1000,
                     use=round(self.intake.pace.utilization(), 2),
                 )
-                self.asked_anew()
+                self.on_report_interval_changed()
         while (ident := self.repairs.next_due(now)) is not None:
-            joined = self.joins[ident]
+            joined = self.joined_proxies[ident]
             self.controller.joined(now, ident, joined.zone, joined.rate, False)
-            self.stir(f"repair {ident}")
-        if self.desk.has_running_rollback() and not self.causes and now >= self.next_rollback_check_at:
+            self.request_run(f"repair {ident}")
+        if (
+            self.table_manager.has_running_rollback()
+            and not self.causes
+            and now >= self.next_rollback_check_at
+        ):
             self.next_rollback_check_at = now + self.site["cycle"] // 5
-            self.stir("rollback")
+            self.request_run("rollback")
 
     def due_times(self, now):
         return [
             *super().due_times(now),
             self.next_cycle_at,
             self.repairs.next_at(),
-            self.next_rollback_check_at if self.desk.has_running_rollback() else None,
+            self.next_rollback_check_at if self.table_manager.has_running_rollback() else None,
         ]
 
     async def run(self):
@@ -243,15 +247,17 @@
             group.start_soon(self.reader.run)
             group.start_soon(super().run)
 
-    def at_home_elsewhere(self):
+    def redirectable_proxies(self):
         """proxy -> zone of the joined proxies that can be redirected to another controller."""
-        return {i: j.zone for i, j in self.joins.items() if getattr(j.outlet, "goes_home", False)}
+        return {
+            i: j.zone for i, j in self.joined_proxies.items() if getattr(j.stream, "accepts_redirect", False)
+        }
 
-    def send_home(self, ident, address):
-        joined = self.joins.get(ident)
+    def redirect(self, ident, address):
+        joined = self.joined_proxies.get(ident)
         if joined:
             self.log.info("sent home", proxy=ident, to=address)
-            joined.outlet.send_home(address)
+            joined.stream.redirect(address)
 
     # -- inspection ------------------------------------------------------------------------------------------
 
@@ -263,10 +269,10 @@
             "epoch": self.epoch,
             "capacity": module.capacity,
             "note": self.last_note,
-            "caps": dict(zip(self.names, module.caps, strict=True)),
+            "caps": dict(zip(self.op_type_names, module.caps, strict=True)),
             "lag_ms": lag / 1000,
             "estimates": {
-                "demand": dict(zip(self.names, getattr(module, "demand", ()), strict=False)),
+                "demand": dict(zip(self.op_type_names, getattr(module, "demand", ()), strict=False)),
                 "acked": getattr(module, "acked", 0.0),
                 "latency_ms": getattr(module, "latency", 0.0) / 1000,
             },
@@ -277,8 +283,8 @@
         """Plain values for `foxstep inspect`: what each proxy holds, capacity, caps and the channel."""
         now = self.clock()
         proxies = {}
-        for ident, joined in self.joins.items():
-            holding = self.book.holdings[ident]
+        for ident, joined in self.joined_proxies.items():
+            holding = self.desired_state.holdings[ident]
             proxies[ident] = {
                 "zone": joined.zone,
                 "delivered": joined.delivered,
@@ -289,8 +295,8 @@
                 "owed": ident in self.channel.deferred,
                 "lines": {ADVICE: holding.lines.get(ADVICE, {})}
                 if joined.rate is None
-                else {name: holding.lines_of(k) for k, name in enumerate(self.names)},
-                "levels": {name: holding.level_of(k) for k, name in enumerate(self.names)},
+                else {name: holding.lines_of(k) for k, name in enumerate(self.op_type_names)},
+                "levels": {name: holding.level_of(k) for k, name in enumerate(self.op_type_names)},
             }
         store = {"written": self.store.written, "lost": self.store.lost, "failing": self.store.failing}
         return {
@@ -301,7 +307,7 @@
             "channel": {
                 "waiting": self.channel.lines_waiting(now),
                 "backlog": self.channel.backlog,
-                "most_waiting": self.channel.most_waiting,
+                "most_waiting": self.channel.max_waiting,
                 "owed": len(self.channel.deferred),
                 "sent_lines": self.channel.sent_lines,
                 "sent_messages": self.channel.sent_messages,
--- a/foxstep/node/messages.py
+++ b/foxstep/node/messages.py
@@ -106,7 +106,7 @@
 
 
 def split_into_parts(holding, message, names):
-    """The update messages for a `live.book` message, in the order in which they take effect.
+    """The update messages for a `live.desired_state` message, in the order in which they take effect.
 
     `holding` already includes the message, so it tells which table each op type uses. `names` are the op
     types' names by index."""
@@ -134,7 +134,7 @@
         add_part(indexes, level=level, retry=tries)
     all_indexes = range(len(names))
     for field, withdrawn in (("out", True), ("back", False)):
-        if servers := [s for s, shut in message.shut.items() if shut is withdrawn]:
+        if servers := [s for s, state in message.withdrawn.items() if state is withdrawn]:
             add_part(all_indexes, **{field: servers})
     for number, _ in message.marks:
         if parts and "ticket" not in parts[-1]:
@@ -145,7 +145,7 @@
 
 
 def encode_update(holding, message, names):
-    """Encodes a `live.book` message for its proxy; empty if there is nothing to write."""
+    """Encodes a `live.desired_state` message for its proxy; empty if there is nothing to write."""
     parts = split_into_parts(holding, message, names)
     for part in parts[:-1]:
         part["more"] = True
--- a/foxstep/node/program.py
+++ b/foxstep/node/program.py
@@ -126,7 +126,7 @@
             if number == signal.SIGHUP:
                 self.reload()
             else:
-                self.log.info("stopped", signal=signal.Signals(number).name, orders=self.host.orders)
+                self.log.info("stopped", signal=signal.Signals(number).name, orders=self.host.order_count)
                 scope.cancel()
                 return
 
--- a/foxstep/node/streams.py
+++ b/foxstep/node/streams.py
@@ -40,7 +40,7 @@
 class Connection(asyncio.BufferedProtocol):
     """One connection. After the handshake of a proxy it is the proxy's `Outlet`, which the host writes to."""
 
-    goes_home = False
+    accepts_redirect = False
 
     def __init__(self, acceptor, sock=None):
         self.acceptor = acceptor
@@ -148,8 +148,8 @@
 
         Without this check, a handshake that is delayed until its proxy has given the connection up and joined
         on another would end the newer, working connection."""
-        joined = self.host.joins.get(node)
-        return joined is not None and joined.outlet.number > self.number
+        joined = self.host.joined_proxies.get(node)
+        return joined is not None and joined.stream.number > self.number
 
     def has_unread_data(self):
         """Whether the socket holds data that this program has not read yet."""
@@ -185,7 +185,7 @@
                     load,
                 )
         elif kind is Usage and (self.ident is None or message.node == self.ident):
-            if message.node >= site["proxies"] or message.route not in self.host.names:
+            if message.node >= site["proxies"] or message.route not in self.host.op_type_names:
                 self.log_ignored(f"unknown op type {message.route[:80]} or proxy {message.node}")
             else:
                 # `errors` may exceed `total`: it includes failures of ops that were admitted earlier.
@@ -211,7 +211,7 @@
         while next(iter(self.marks)) != message.nonce:  # an answer includes all earlier marks
             del self.marks[next(iter(self.marks))]
         del self.marks[message.nonce]
-        self.host.took(self.ident, self, message.nonce, written_at - ordered_at + latency_us)
+        self.host.mark_applied(self.ident, self, message.nonce, written_at - ordered_at + latency_us)
 
     # -- outgoing messages
 
@@ -223,7 +223,7 @@
             return
         if self.paused:
             if self.pending:
-                self.pending[1].fold(message)
+                self.pending[1].merge(message)
             else:
                 self.pending = (holding, message)
             return
@@ -232,7 +232,7 @@
             self.marks[number] = (ordered_at, now)
             if len(self.marks) > MAX_PENDING_MARKS:
                 del self.marks[next(iter(self.marks))]
-        if data := messages.encode_update(holding, message, self.host.names):
+        if data := messages.encode_update(holding, message, self.host.op_type_names):
             self.transport.write(data)
 
     # -- close
--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -3,7 +3,7 @@
 import grpc
 import msgspec
 
-from foxstep.tables.desk import Unknown
+from foxstep.tables.manager import OrderError
 
 PREFIX = "/foxstep.Operator/"
 INSPECT = PREFIX + "Inspect"
@@ -38,7 +38,7 @@
             try:
                 request = msgspec.json.decode(body, type=dict)
                 return msgspec.json.encode(handler(request))
-            except (Unknown, msgspec.DecodeError) as error:
+            except (OrderError, msgspec.DecodeError) as error:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
             except (KeyError, TypeError) as error:
                 await context.abort(grpc.StatusCode.INVALID_ARGUMENT, f"{error} is missing or wrong")
@@ -53,10 +53,10 @@
         """The members of the group of controllers and the proxies of each.
 
         "drain" true or false starts or stops redirecting all proxies of this controller to the others;
-        "proxy" and "to" redirect one proxy to the controller with that number. Raises Unknown.
+        "proxy" and "to" redirect one proxy to the controller with that number. Raises OrderError.
         """
         if self.sharing is None:
-            raise Unknown("this controller was started without peers")
+            raise OrderError("this controller was started without peers")
         if "drain" in request:
             self.sharing.homing.leaving = bool(request["drain"])
         if request.get("proxy"):
@@ -65,18 +65,18 @@
 
     def redirect_proxy(self, proxy, to):
         if to not in self.sharing.peers:
-            raise Unknown(f"no controller {to}: expected one of {', '.join(map(str, self.sharing.peers))}")
-        if proxy not in self.host.at_home_elsewhere():
-            raise Unknown(f"{proxy!r} is not joined here, or does not accept a redirect")
-        self.host.send_home(proxy, self.sharing.peers[to][1])
+            raise OrderError(f"no controller {to}: expected one of {', '.join(map(str, self.sharing.peers))}")
+        if proxy not in self.host.redirectable_proxies():
+            raise OrderError(f"{proxy!r} is not joined here, or does not accept a redirect")
+        self.host.redirect(proxy, self.sharing.peers[to][1])
 
     def proxy_zones(self):
-        return {ident: joined.zone for ident, joined in self.host.joins.items()}
+        return {ident: joined.zone for ident, joined in self.host.joined_proxies.items()}
 
     def tables_list(self, request):
         """The newest versions (at most "most" of them, 20 by default) and the rollbacks; times are in
         microseconds on the host's clock."""
-        manager = self.host.desk
+        manager = self.host.table_manager
         return {
             "versions": manager.history(min(int(request.get("most", 20)), 1000)),
             "last_good": str(manager.evidence.last_good(manager.ledger.entries) or ""),
@@ -86,15 +86,15 @@
 
     def tables_show(self, request):
         """What each proxy holds, or the table of "proxy" as of "version" (by default its current one)."""
-        manager = self.host.desk
+        manager = self.host.table_manager
         holders = manager.holders(self.proxy_zones())
         if not request.get("proxy"):
-            return {"holders": holders, "behind": manager.ledger.behind()}
+            return {"holders": holders, "behind": manager.ledger.proxies_behind()}
         proxy = request["proxy"]
         version = manager.find(request["version"]) if request.get("version") else None
         table = manager.ledger.table(proxy, version)
         if table is None:
-            raise Unknown(f"no table of {proxy!r}" + (f" in {version}" if version else ""))
+            raise OrderError(f"no table of {proxy!r}" + (f" in {version}" if version else ""))
         return {
             "proxy": proxy,
             "holder": holders.get(proxy),
@@ -105,11 +105,11 @@
 
     def tables_diff(self, request):
         """The lines that differ between the versions "old" and "new", by proxy."""
-        return {"changes": self.host.desk.difference(request["old"], request["new"])}
+        return {"changes": self.host.table_manager.difference(request["old"], request["new"])}
 
     def tables_rollback(self, request, at_once=False):
         """Moves the proxies in "scope" to "version" in waves, or all `at_once`, and holds them there."""
-        rollback, bound_us = self.host.desk.roll_back(
+        rollback, bound_us = self.host.table_manager.roll_back(
             self.host.clock(), request["scope"], request["version"], self.proxy_zones(), at_once
         )
         return self.rollback_response(rollback, bound_us)
@@ -121,12 +121,14 @@
     def tables_put(self, request):
         """Holds the proxies in "scope" to a table given by hand: "lines" maps servers to weights."""
         return self.rollback_response(
-            *self.host.desk.put(self.host.clock(), request["scope"], request["lines"], self.proxy_zones())
+            *self.host.table_manager.put(
+                self.host.clock(), request["scope"], request["lines"], self.proxy_zones()
+            )
         )
 
     def rollback_response(self, rollback, bound_us):
         """Logs the new rollback and describes it; `bound_us` is the bound on its duration in microseconds."""
-        self.host.stir(f"operator's order {rollback.number}")
+        self.host.request_run(f"operator's order {rollback.number}")
         self.host.log.warning(
             "rollback ordered",
             number=rollback.number,
@@ -143,18 +145,18 @@
 
     def tables_unpin(self, request):
         """Ends the rollbacks and pins of "scope", so that its proxies get the current tables again."""
-        ended = self.host.desk.release(request["scope"], self.proxy_zones())
-        self.host.stir("operator's order: unpin")
+        ended = self.host.table_manager.release(request["scope"], self.proxy_zones())
+        self.host.request_run("operator's order: unpin")
         if not ended:
-            raise Unknown(f"nothing holds {request['scope']!r}")
+            raise OrderError(f"nothing holds {request['scope']!r}")
         return {"ended": ended}
 
     def tables_progress(self, request):
         """The state of all rollbacks, and the number of proxies that do not hold their target table."""
-        manager = self.host.desk
+        manager = self.host.table_manager
         return {
             "rollbacks": manager.progress(self.proxy_zones()),
-            "behind": len(manager.ledger.behind()),
+            "behind": len(manager.ledger.proxies_behind()),
             "now": self.host.clock(),
         }
 
--- a/foxstep/peers/learning.py
+++ b/foxstep/peers/learning.py
@@ -80,18 +80,22 @@
         self.peer_facts.proxy_left(self.host.clock(), proxy, self.host.controller.capacity, rate, rates)
 
     def rates(self):
-        return {i: max(j.rate, DEFAULT_RATE) for i, j in self.host.joins.items() if j.rate is not None}
+        return {
+            i: max(j.rate, DEFAULT_RATE) for i, j in self.host.joined_proxies.items() if j.rate is not None
+        }
 
     def zones(self):
         """Returns proxy -> zone of the proxies served here."""
-        return {i: j.zone for i, j in self.host.joins.items() if j.rate is not None}
+        return {i: j.zone for i, j in self.host.joined_proxies.items() if j.rate is not None}
 
     # -- exchange
 
     def exchange(self):
         """Publishes what is known here, and applies the peers' facts received since the last call."""
         host, now = self.host, self.host.clock()
-        holders = {p: str(h.held) for p in host.joins if (h := host.desk.ledger.holder(p)).held}
+        holders = {
+            p: str(h.held) for p in host.joined_proxies if (h := host.table_manager.ledger.holder(p)).held
+        }
         self.publisher.publish(
             now,
             host.listed_lines,
@@ -107,9 +111,9 @@
         news.update(dict.fromkeys(s for s in host.listed_lines if s not in self.known_servers))
         self.replica.changed.clear()
         self.known_servers = dict.fromkeys(host.listed_lines)
-        lines = self.peer_facts.changed_lines(now, host.listed_lines, host.told_at)
-        if lines or self.peer_facts.overrides != host.shaded:
-            host.shade(dict(self.peer_facts.overrides), lines)
+        lines = self.peer_facts.changed_lines(now, host.listed_lines, host.state_since)
+        if lines or self.peer_facts.overrides != host.line_overrides:
+            host.override_lines(dict(self.peer_facts.overrides), lines)
         host.learnt(self.peer_facts.weights(now, [s for s in news if s in host.listed_lines]))
         change = self.peer_facts.capacity_gained(
             host.controller.capacity, self.rates()
@@ -122,9 +126,9 @@
     def raise_epoch(self):
         """Moves to an epoch above any that peers have seen of this controller and its store has lost, and so
         above the versions that its proxies hold."""
-        ledger, highest = self.host.desk.ledger, self.replica.newer_own_epoch
+        ledger, highest = self.host.table_manager.ledger, self.replica.newer_own_epoch
         if highest:
-            ledger.outrank(Version(highest + 1, 0))
+            ledger.raise_epoch_above(Version(highest + 1, 0))
             self.replica.begin_epoch(epoch_after(max(ledger.epoch, highest), self.me))
             self.replica.newer_own_epoch = 0
             self.host.log.warning("outranked", by="its own epoch before the restart", epoch=ledger.epoch)
--- a/foxstep/peers/sharing.py
+++ b/foxstep/peers/sharing.py
@@ -33,7 +33,7 @@
             self.membership,
             socket,
             host.clock,
-            lambda: len(host.joins),
+            lambda: len(host.joined_proxies),
             drop_ratio,
             fact_exchange.replica,
             is_valid_fact,
@@ -44,10 +44,10 @@
             now, members = self.host.clock(), self.membership.members
             others = {i: (m.up_since, m.heard_at or 0) for i, m in members.items() if m.state != GONE}
             all_proxies = {**self.fact_exchange.peer_facts.proxies_of(others), **self.fact_exchange.zones()}
-            redirect = self.homing.next_redirect(now, self.host.at_home_elsewhere(), all_proxies, others)
+            redirect = self.homing.next_redirect(now, self.host.redirectable_proxies(), all_proxies, others)
             if redirect:
                 proxy, home = redirect
-                self.host.send_home(proxy, self.peers[home][1])
+                self.host.redirect(proxy, self.peers[home][1])
             wait = min(max(self.homing.next_at - now, 1_000), self.membership.period // 4)
             await anyio.sleep(wait / SECOND_US)
 
@@ -68,7 +68,7 @@
             "epoch": self.host.epoch,
             "alive": self.membership.alive(),
             "draining": self.homing.leaving,
-            "proxies": {ident: joined.zone for ident, joined in self.host.joins.items()},
+            "proxies": {ident: joined.zone for ident, joined in self.host.joined_proxies.items()},
             "notes": {
                 "sent": self.transport.sent,
                 "heard": self.transport.received,
@@ -78,14 +78,16 @@
             },
             "peers": self.membership.view(now),
             "away": {
-                p: h for p, h in self.homing.homes.items() if p in self.host.joins and h != self.membership.me
+                p: h
+                for p, h in self.homing.homes.items()
+                if p in self.host.joined_proxies and h != self.membership.me
             },
             "facts": {str(i): self.fact_exchange.summary_of(now, i) for i in self.peers},
             "heals_within_ms": heal_bound(
                 self.membership.period,
                 len(self.peers),
                 self.homing.spacing,
-                len(self.host.joins),
+                len(self.host.joined_proxies),
             )
             // 1000,
         }
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -14,8 +14,8 @@
 from foxstep.advice.registry import Registry, Result
 from foxstep.sasp import wire
 from foxstep.sasp.wire import Code, Flag, Kind, Message, Weight
-from foxstep.tables.desk import ADVICE
 from foxstep.tables.ledger import thousandths
+from foxstep.tables.manager import ADVICE
 
 SECOND_US = 1_000_000
 WRITE_TIMEOUT_S = 10.0  # a peer that reads nothing for so long is disconnected
@@ -72,8 +72,8 @@
     def deliver(self, holding, message):
         self.holding = holding
         self.changed.update(dict.fromkeys(name for _, name in message.lines))
-        self.version = message.meant.name() if message.meant else self.version
-        self.ordered_at = self.ordered_at or message.first_at
+        self.version = message.target_table.name() if message.target_table else self.version
+        self.ordered_at = self.ordered_at or message.first_ordered_at
         self.connection.wake_push.set()
 
     def end(self, reason):
@@ -342,7 +342,7 @@
             advice["groups"],
             advice["members"],
             advice["keep"],
-            host.desk.advice.max_lines(),
+            host.table_manager.advice.max_lines(),
         )
         # In seconds. A balancer that polls has to learn of a drain within the grace, so it polls twice in it,
         # as far as whole seconds allow.
@@ -372,7 +372,7 @@
             state = "open" if weight else state  # a whole system: its weight reflects its servers' states
         if state != "open":
             weight = 0  # even if the change of the line still waits in the channel
-        warm = weight and self.host.desk.standing.get(server, (0, 0, 1))[2] == 1
+        warm = weight and self.host.table_manager.standing.get(server, (0, 0, 1))[2] == 1
         flags = (
             (Flag.CONTACT if state != "gone" else 0)
             | (Flag.QUIESCE if state != "open" or entry.quiesced else 0)
--- a/foxstep/tables/evidence.py
+++ b/foxstep/tables/evidence.py
@@ -51,7 +51,7 @@
                 last.last = version
         return self.intervals[-1] if self.intervals else None
 
-    def met(self, now, tries, aborted, latency):
+    def record_tries(self, now, tries, aborted, latency):
         """Adds one report line. `latency`: total latency of the acked tries, microseconds."""
         interval = self.current(now)
         if interval:
--- a/foxstep/tables/ledger.py
+++ b/foxstep/tables/ledger.py
@@ -160,7 +160,7 @@
         fleet = self.fleet if version is None else self.entries[version].fleet
         return fleet.get(proxy)
 
-    def outrank(self, seen):
+    def raise_epoch_above(self, seen):
         """Raises the epoch above that of a version that a proxy holds; returns whether it had to be raised.
 
         Such a version was made by another controller, or by a previous process whose store was lost.
@@ -186,7 +186,7 @@
         holder.joined, holder.refused, holder.reason = True, None, ""
         holder.held = held
         if held is not None:
-            self.outrank(held)
+            self.raise_epoch_above(held)
         table = self.fleet.get(proxy)
         return table is not None and held == table.version
 
@@ -227,7 +227,7 @@
         holder.refused, holder.reason = version, reason[:300]
         return True
 
-    def behind(self):
+    def proxies_behind(self):
         """Joined proxies that do not hold what they are meant to hold, in order."""
         return [
             p
--- a/foxstep/tables/desk.py
+++ b/foxstep/tables/manager.py
@@ -9,7 +9,7 @@
 
 from foxstep.advice.advisor import Advisor, split_line_name
 from foxstep.advice.weights import member_values
-from foxstep.live.book import Message
+from foxstep.live.desired_state import Message
 from foxstep.tables.compose import compose
 from foxstep.tables.evidence import Evidence
 from foxstep.tables.ledger import Ledger
@@ -22,11 +22,11 @@
 ADVICE = "advice"  # the table of an advised balancer; its lines are named by group and server
 
 
-class Unknown(ValueError):
+class OrderError(ValueError):
     """An operator's order that cannot be carried out; the message is one line."""
 
 
-class Desk:
+class TableManager:
     """`site`: the plain settings. `keep`: versions in the history."""
 
     def __init__(self, site, epoch, keep=1000):
@@ -89,7 +89,7 @@
 
     # -- the batch
 
-    def shape(self, now, messages, book, zones, allowed, cause, standing=None, waiting=0):
+    def shape(self, now, messages, desired, zones, allowed, cause, standing=None, waiting=0):
         """The messages to send for a batch of orders.
 
         These are the module's own, restricted for pinned proxies, and those that pins and advice add.
@@ -114,7 +114,7 @@
         self.allowed = allowed
         targets, rolled_back_to = {}, {}
         for proxy in {**by_proxy, **self.recompute}:
-            lines = self.target_lines(proxy, book, zones.get(proxy, ""), rolled_back_to)
+            lines = self.target_lines(proxy, desired, zones.get(proxy, ""), rolled_back_to)
             if lines is not None:
                 targets[proxy] = lines
         self.recompute = {}
@@ -124,19 +124,19 @@
         if version:
             self.evidence.record_version(now, version)
             self.on_entry(self.ledger.entries[version])
-        return self.outgoing(now, by_proxy, targets, before, book)
+        return self.outgoing(now, by_proxy, targets, before, desired)
 
-    def target_lines(self, proxy, book, zone, rolled_back_to):
+    def target_lines(self, proxy, desired, zone, rolled_back_to):
         """The lines that a proxy is to hold, or None if it has no table of its own yet.
 
         If a rollback holds the proxy, its version is entered into `rolled_back_to`.
         """
         if proxy in self.advice.balancers:
             return self.advised_lines(proxy, zone, rolled_back_to)
-        tables = book.bindings.get(proxy)
+        tables = desired.bindings.get(proxy)
         if not tables or tables[0] is None or len(set(tables)) > 1:
             return None
-        ordinary = book.lines.get(tables[0], {})
+        ordinary = desired.lines.get(tables[0], {})
         rollback = self.rollbacks.rollback_of(proxy, zone)
         pinned = rollback and self.pinned_table(proxy, rollback.version)
         if not pinned:
@@ -176,15 +176,15 @@
         chosen = min(others, key=lambda other: (crc32(f"{proxy} {other}".encode()), other), default=None)
         return chosen and entry.fleet[chosen]
 
-    def outgoing(self, now, by_proxy, targets, before, book):
+    def outgoing(self, now, by_proxy, targets, before, desired):
         messages = []
         for proxy, lines in targets.items():
             message, known = by_proxy.get(proxy), before[proxy]
             table = self.ledger.table(proxy)
             is_advised = proxy in self.advice.balancers
-            name = ADVICE if is_advised else book.bindings[proxy][0]
+            name = ADVICE if is_advised else desired.bindings[proxy][0]
             if message is None:
-                message = Message(proxy, now, book.head)
+                message = Message(proxy, now, desired.head)
             if self.resend.pop(proxy, False):  # lines without a weight are sent too
                 message.whole, lines = True, {**dict.fromkeys(self.advice.balancers[proxy].lines, 0), **lines}
             pinned = table.rolled_back_to is not None or (
@@ -196,7 +196,7 @@
                 changes = known.changes_to(table.lines) if known else lines
                 message.lines = {(name, s): w for s, w in changes.items()}
             renamed = known is None or table.version != known.version
-            message.meant = table if renamed or message.whole else None
+            message.target_table = table if renamed or message.whole else None
             if message.cost > message.head or renamed:  # a new version alone is sent too: it costs the head
                 messages.append(message)
         return messages + [m for p, m in by_proxy.items() if p not in targets]
@@ -213,23 +213,23 @@
         return f"refused: {holder.reason}" if holder.refused == table.version else "no"
 
     def find(self, name):
-        """A version by its number or "last-good". Raises Unknown."""
+        """A version by its number or "last-good". Raises OrderError."""
         if name == "last-good":
             found = self.evidence.last_good(self.ledger.entries)
             if found is None:
-                raise Unknown("no version has been good for long enough yet: name one")
+                raise OrderError("no version has been good for long enough yet: name one")
             return found
         try:
             found = Version.parse(name)
         except ValueError as error:
-            raise Unknown(str(error)) from None
+            raise OrderError(str(error)) from None
         if found not in self.ledger.entries:
             oldest, newest = next(iter(self.ledger.entries), None), self.ledger.newest()
-            raise Unknown(f"no version {found} in the history ({oldest} to {newest})")
+            raise OrderError(f"no version {found} in the history ({oldest} to {newest})")
         return found
 
     def check_scope(self, scope, zones):
-        """Raises Unknown unless the scope is well-formed and names a zone or proxy that is known."""
+        """Raises OrderError unless the scope is well-formed and names a zone or proxy that is known."""
         kind, _, name = scope.partition(" ")
         if kind == "fleet" and not name:
             return
@@ -237,12 +237,12 @@
             return
         if kind == "proxy" and (name in zones or name in self.ledger.fleet):
             return
-        raise Unknown(f'expected "fleet", "zone NAME" or "proxy ID" that is known, got {scope!r}')
+        raise OrderError(f'expected "fleet", "zone NAME" or "proxy ID" that is known, got {scope!r}')
 
     def roll_back(self, now, scope, name, zones, at_once=False):
         """Orders a rollback (`at_once`: a pin).
 
-        Returns it and the bound of its convergence in microseconds. Raises Unknown.
+        Returns it and the bound of its convergence in microseconds. Raises OrderError.
         """
         self.check_scope(scope, zones)
         version = self.find(name)
@@ -254,23 +254,23 @@
         return rollback, self.convergence_bound(rollback, zones)
 
     def put(self, now, scope, lines, zones):
-        """Adds an operator's table as a version of its own and pins the scope to it. Raises Unknown."""
+        """Adds an operator's table as a version of its own and pins the scope to it. Raises OrderError."""
         self.check_scope(scope, zones)
         unknown = [s for s in lines if s not in self.allowed]
         if unknown or not lines:
-            raise Unknown(
+            raise OrderError(
                 f"no such server may be picked now: {', '.join(unknown[:3])}"
                 if unknown
                 else "a table without lines"
             )
         if any(not 0 < weight < 1e6 for weight in lines.values()):
-            raise Unknown("expected weights above 0 and below 1000000")
+            raise OrderError("expected weights above 0 and below 1000000")
         kind, _, name = scope.partition(" ")
         covered = [p for p, z in zones.items() if kind == "fleet" or name == (z if kind == "zone" else p)]
         fleet = self.ledger.fleet
         version = self.ledger.commit(now, "by hand", {p: dict(lines) for p in covered})
         if version is None:
-            raise Unknown("no proxy to hold it")
+            raise OrderError("no proxy to hold it")
         self.ledger.entries[version].detached = True
         self.on_entry(self.ledger.entries[version])
         # It is in the history, but no proxy is meant to hold it until it is pinned, restricted like any pin.
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -57,7 +57,7 @@
         self.supports_quotas = QUOTAS_FEATURE in node.client_features
         self.held_version = metadata["holds"].string_value if "holds" in metadata else ""
         self.incremental = incremental
-        self.goes_home = HOME_FEATURE in node.client_features
+        self.accepts_redirect = HOME_FEATURE in node.client_features
         self.redirect_address = ""
         epoch = front.host.epoch
         if incremental:
@@ -77,11 +77,11 @@
         type_urls = []
         lines = (
             message.lines
-            or message.shut
+            or message.withdrawn
             or message.tables
             or message.emptied
             or message.whole
-            or message.meant
+            or message.target_table
         )
         levels = self.levels_as_drops() and message.levels
         if message.tables and not self.supports_quotas:
@@ -99,7 +99,7 @@
         if message.marks and not type_urls:
             type_urls.append(resources.ENDPOINT_TYPE if self.incremental else resources.ASSIGNMENT_TYPE)
         type_urls.sort(key=MARK_CARRIER_ORDER.index)
-        stamp = (message.first_at, message.cost)
+        stamp = (message.first_ordered_at, message.cost)
         if self.incremental:
             self.session.schedule(type_urls, message.marks, stamp, message.whole)
         else:
@@ -110,7 +110,7 @@
         self.end_reason = self.end_reason or reason
         self.wakeup.set()
 
-    def send_home(self, address):
+    def redirect(self, address):
         """Ends the stream and redirects the client to the controller at `address`.
 
         Only for clients with the feature `HOME_FEATURE`.
@@ -152,7 +152,7 @@
         return self.front.host.allowed_tries(index, usual)
 
     def table_version(self, type_url):
-        table = self.holding.meant if type_url == resources.ASSIGNMENT_TYPE and self.holding else None
+        table = self.holding.target_table if type_url == resources.ASSIGNMENT_TYPE and self.holding else None
         return table.name() if table else None
 
     def weights(self):
@@ -160,9 +160,9 @@
 
         Only meaningful if all op types share one table.
         """
-        if self.holding is None or self.holding.meant is None:
+        if self.holding is None or self.holding.target_table is None:
             return {}, None
-        return self.holding.lines_of(0) or {}, self.holding.meant.name()
+        return self.holding.lines_of(0) or {}, self.holding.target_table.name()
 
     def render_versioned(self, type_url, names):
         """Returns name -> (version, message), for an incremental session."""
@@ -314,8 +314,8 @@
         self.op_types = op_types
         self.op_type_index = {o["name"]: k for k, o in enumerate(op_types)}
         self.streams, self.quota_streams, self.report_streams = {}, {}, {}
-        host.reader.read.update({TRIES: self.read_tries, USAGE: self.read_usage})
-        host.asked_anew = self.report_interval_changed
+        host.reader.handlers.update({TRIES: self.read_tries, USAGE: self.read_usage})
+        host.on_report_interval_changed = self.report_interval_changed
 
     def zone_of(self, server):
         line = self.host.listed_lines.get(server)
