--- a/foxstep/commands/advise.py
+++ b/foxstep/commands/advise.py
@@ -6,7 +6,7 @@
 import click
 
 from foxstep.commands import logs
-from foxstep.sasp.balancer import Balancer
+from foxstep.sasp.balancer import BalancerClient
 from foxstep.sasp.wire import Flag
 
 
@@ -29,7 +29,7 @@
         lines = "  ".join(f"{s}={format_weight(*weight)}" for s, weight in balancer.weights[group].items())
         click.echo(f"{time.monotonic() - started_at:8.2f} s  {group}: {lines}")
 
-    balancer = Balancer(ident, address, groups, push, on_weights=show)
+    balancer = BalancerClient(ident, address, groups, push, on_weights=show)
 
     async def run_balancer():
         with anyio.move_on_after(seconds):
--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -13,8 +13,8 @@
 from foxstep.live.clocks import clock, wall
 from foxstep.live.serving import ServingHost
 from foxstep.operate.service import OperatorService
-from foxstep.peers.learning import Learning
-from foxstep.peers.sharing import Sharing
+from foxstep.peers.coordinator import PeerCoordinator
+from foxstep.peers.fact_exchange import FactExchange
 from foxstep.sasp.front import SaspFront
 from foxstep.xds.front import MAX_REPORT_BYTES, Front
 from foxstep.xds.listing import ListClient
@@ -91,11 +91,11 @@
     server = grpc.aio.server(options=SERVER_OPTIONS)
     front.add_to(server)
     coordinator = None
-    fact_exchange = Learning(host, me, site.controllers.exchange)
+    fact_exchange = FactExchange(host, me, site.controllers.exchange)
     if shared.get("peers"):
         notes_host, _, notes_port = shared["notes"].rpartition(":")
         notes = await anyio.create_udp_socket(local_host=notes_host, local_port=int(notes_port))
-        coordinator = Sharing(
+        coordinator = PeerCoordinator(
             host, fact_exchange, site.name, me, shared["peers"], notes, shared.get("lose", 0.0)
         )
     server.add_generic_rpc_handlers((OperatorService(host, coordinator),))
--- a/foxstep/measure/sasp.py
+++ b/foxstep/measure/sasp.py
@@ -12,8 +12,8 @@
 
 from foxstep.measure.fleet import process_usage
 from foxstep.sasp import wire
-from foxstep.sasp.balancer import Balancer, member_of
-from foxstep.sasp.wire import Group, Kind, Message, Weight
+from foxstep.sasp.balancer import BalancerClient, member_of
+from foxstep.sasp.wire import Group, Message, MessageType, Weight
 from foxstep.site.load import EXAMPLES
 from foxstep.standins.layout import MESSAGE
 from foxstep.standins.lists import ListService
@@ -38,19 +38,19 @@
     for size in (10, 100, 1000):
         members = [member_of(f"10.0.{k >> 8}.{k & 255}:80") for k in range(size)]
         message = Message(
-            Kind.SEND_WEIGHTS,
+            MessageType.SEND_WEIGHTS,
             1,
             ((Group(b"lb", b"web"), tuple(Weight(member, 0, 9, 1000) for member in members)),),
         )
-        data = wire.write(message)
-        rows["written"].append(time_per_call(wire.write, message))
-        rows["read"].append(time_per_call(wire.read, data))
+        data = wire.encode(message)
+        rows["written"].append(time_per_call(wire.encode, message))
+        rows["read"].append(time_per_call(wire.decode, data))
         rows["read by construct"].append(time_per_call(MESSAGE.parse, data))
     for name, figures in rows.items():
         click.echo(f"  {name:30}" + "".join(f"{figure:9,.0f}" for figure in figures))
 
 
-class MeasuredBalancer(Balancer):
+class MeasuredBalancer(BalancerClient):
     """A balancer that notes when it hears that the first server is withdrawn or back.
 
     `wanted` is the awaited state, True for back; `heard` is set when it arrives, at the time `at`.
@@ -146,7 +146,7 @@
         async def request_weights(client):
             nonlocal requests
             while clock() < until:
-                await client.get()
+                await client.get_weights()
                 requests += 1
 
         async with anyio.create_task_group() as requesting:
--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -58,7 +58,7 @@
         if self.sharing is None:
             raise OrderError("this controller was started without peers")
         if "drain" in request:
-            self.sharing.homing.leaving = bool(request["drain"])
+            self.sharing.redirect_scheduler.draining = bool(request["drain"])
         if request.get("proxy"):
             self.redirect_proxy(request["proxy"], int(request["to"]))
         return self.sharing.view()
--- a/foxstep/peers/bounds.py
+++ b/foxstep/peers/bounds.py
@@ -6,7 +6,7 @@
 from math import ceil, log
 
 from foxstep.peers.membership import MAX_LOCAL_HEALTH
-from foxstep.peers.place import MIN_ALIVE_PERIODS, STABLE_HOME_PERIODS
+from foxstep.peers.placement import MIN_ALIVE_PERIODS, STABLE_HOME_PERIODS
 
 EXCEED_PROBABILITY = 1e-3  # accepted probability that a bound is exceeded because of lost datagrams
 
--- a/foxstep/peers/sharing.py
+++ b/foxstep/peers/coordinator.py
@@ -5,14 +5,14 @@
 from foxstep.peers.bounds import heal_bound
 from foxstep.peers.facts import is_valid_fact
 from foxstep.peers.membership import GONE, Membership
-from foxstep.peers.notes import Notes
-from foxstep.peers.place import RedirectScheduler
+from foxstep.peers.placement import RedirectScheduler
+from foxstep.peers.transport import PeerTransport
 
 SECOND_US = 1_000_000
 PERIODS_PER_GRACE = 8  # ping periods: a failure is detected well before the grace for a drain has passed
 
 
-class Sharing:
+class PeerCoordinator:
     """`peers` maps the numbers of all other controllers to (address for messages, address for proxies,
     zone). `drop_ratio` is the fraction of messages that a drill discards."""
 
@@ -26,9 +26,9 @@
         )
         zones = {me: host.site["zone"], **{i: peer[2] for i, peer in peers.items()}}
         table_cost = host.site["head"] + 1 + host.site["standing"]
-        self.homing = RedirectScheduler(me, zones, period, table_cost, host.site["lines_per_s"])
+        self.redirect_scheduler = RedirectScheduler(me, zones, period, table_cost, host.site["lines_per_s"])
         fact_exchange.period = period
-        self.transport = Notes(
+        self.transport = PeerTransport(
             site_name,
             self.membership,
             socket,
@@ -44,16 +44,18 @@
             now, members = self.host.clock(), self.membership.members
             others = {i: (m.up_since, m.heard_at or 0) for i, m in members.items() if m.state != GONE}
             all_proxies = {**self.fact_exchange.peer_facts.proxies_of(others), **self.fact_exchange.zones()}
-            redirect = self.homing.next_redirect(now, self.host.redirectable_proxies(), all_proxies, others)
+            redirect = self.redirect_scheduler.next_redirect(
+                now, self.host.redirectable_proxies(), all_proxies, others
+            )
             if redirect:
                 proxy, home = redirect
                 self.host.redirect(proxy, self.peers[home][1])
-            wait = min(max(self.homing.next_at - now, 1_000), self.membership.period // 4)
+            wait = min(max(self.redirect_scheduler.next_at - now, 1_000), self.membership.period // 4)
             await anyio.sleep(wait / SECOND_US)
 
     async def exchange_with_peers(self):
-        await self.transport.ask_facts()
-        await self.transport.answer_facts()
+        await self.transport.send_digest()
+        await self.transport.send_answers()
 
     async def leave(self):
         """Tells the peers that this controller ends."""
@@ -67,7 +69,7 @@
             "incarnation": self.membership.incarnation,
             "epoch": self.host.epoch,
             "alive": self.membership.alive(),
-            "draining": self.homing.leaving,
+            "draining": self.redirect_scheduler.draining,
             "proxies": {ident: joined.zone for ident, joined in self.host.joined_proxies.items()},
             "notes": {
                 "sent": self.transport.sent,
@@ -79,14 +81,14 @@
             "peers": self.membership.view(now),
             "away": {
                 p: h
-                for p, h in self.homing.homes.items()
+                for p, h in self.redirect_scheduler.homes.items()
                 if p in self.host.joined_proxies and h != self.membership.me
             },
             "facts": {str(i): self.fact_exchange.summary_of(now, i) for i in self.peers},
             "heals_within_ms": heal_bound(
                 self.membership.period,
                 len(self.peers),
-                self.homing.spacing,
+                self.redirect_scheduler.spacing,
                 len(self.host.joined_proxies),
             )
             // 1000,
--- a/foxstep/peers/learning.py
+++ b/foxstep/peers/fact_exchange.py
@@ -23,7 +23,7 @@
 SAVE_INTERVAL_CYCLES = 10  # report cycles between two writes of the facts to the store
 
 
-class Learning:
+class FactExchange:
     """`bytes_per_s` limits what is sent to peers. `period` is the time between two exchanges in
     microseconds."""
 
@@ -57,12 +57,12 @@
             lane.confirmed_at = now - age
             for count, (key, value) in enumerate(facts.items(), 1):
                 if value is not None and is_valid_fact(number, key, value):
-                    lane.take(key, Fact(value, count, now - age))
+                    lane.apply(key, Fact(value, count, now - age))
 
     def save(self, now):
         self.save_at = now + SAVE_INTERVAL_CYCLES * self.host.site["cycle"]
         lanes = [
-            {key: fact.value for key, fact in self.replica.of[self.me, n].live().items()}
+            {key: fact.value for key, fact in self.replica.lane_by_key[self.me, n].live().items()}
             for n in range(LANE_COUNT)
         ]
         if lanes != self.saved and any(lanes):
--- a/foxstep/peers/facts.py
+++ b/foxstep/peers/facts.py
@@ -82,7 +82,7 @@
             if known and age is not None and known[3] is not None:
                 # A fact holds the age at the time of its publication. An unchanged start is not published
                 # again.
-                published_at = self.replica.of[self.replica.me, SERVER_LANE].facts[server].at
+                published_at = self.replica.lane_by_key[self.replica.me, SERVER_LANE].facts[server].at
                 if abs((published_at - known[3] * 1000) - line[6]) < START_TOLERANCE_US // 2:
                     age = known[3]
             facts[server] = [None if usual is None else round(usual, 3), withdrawn, line[4], age]
@@ -96,7 +96,7 @@
         self.replica.confirm(now)
 
     def published_value(self, lane, key):
-        fact = self.replica.of[self.replica.me, lane].facts.get(key)
+        fact = self.replica.lane_by_key[self.replica.me, lane].facts.get(key)
         return fact.value if fact else None
 
     def put_lane(self, now, lane, facts):
--- a/foxstep/peers/membership.py
+++ b/foxstep/peers/membership.py
@@ -68,7 +68,7 @@
         self.relayed_probes = {}  # number of a ping sent for another member -> (that member, its number)
         self.local_health = 0
         self.last_tick_at = now
-        self.changes = deque(maxlen=64)
+        self.state_changes = deque(maxlen=64)
         self.has_left = False
 
     # -- received messages
@@ -125,7 +125,7 @@
 
     def set_state(self, now, member, state, incarnation):
         if state != member.state:
-            self.changes.append((now, member.ident, state))
+            self.state_changes.append((now, member.ident, state))
         if member.state == GONE and state != GONE:
             member.up_since = now
         member.state, member.incarnation, member.state_since = state, incarnation, now
--- a/foxstep/peers/place.py
+++ b/foxstep/peers/placement.py
@@ -27,7 +27,7 @@
     return blake2b(f"{controller} {proxy}".encode(), digest_size=8).digest()
 
 
-def preferred(proxy, zone, controllers, zone_of):
+def ranked_controllers(proxy, zone, controllers, zone_of):
     """Returns the controllers in the order of preference for a proxy: those of its zone first."""
     by_score = sorted(controllers, key=lambda c: score(c, proxy), reverse=True)
     return sorted(by_score, key=lambda c: zone_of.get(c) != zone)
@@ -42,7 +42,7 @@
     max_load = ceil(MAX_LOAD_FACTOR * len(proxies) / max(1, len(controllers)))
     loads, homes = dict.fromkeys(controllers, 0), {}
     for proxy in sorted(proxies, key=lambda p: score("order", p)):
-        order = preferred(proxy, proxies[proxy], controllers, zone_of)
+        order = ranked_controllers(proxy, proxies[proxy], controllers, zone_of)
         homes[proxy] = next(c for c in order if loads[c] < max_load)
         loads[homes[proxy]] += 1
     return homes
@@ -65,7 +65,7 @@
         self.assigned_over = None  # the controllers and proxies that `homes` was computed over
         self.homes = {}
         self.home_since = {}  # proxy -> (home, since when)
-        self.leaving = False  # this controller is to end: all of its proxies are redirected
+        self.draining = False  # this controller is to end: all of its proxies are redirected
 
     def heard_recently(self, now, heard_at):
         """Prevents redirects to a controller that has died and is not yet known to be gone.
@@ -82,7 +82,7 @@
         when they were last heard of).
         """
         eligible = sorted(c for c, (since, _) in others.items() if now - since >= self.min_alive)
-        if not self.leaving:
+        if not self.draining:
             eligible = sorted([*eligible, self.me])
         assigned_over = (tuple(eligible), tuple(sorted(all_proxies.items())))
         if assigned_over != self.assigned_over:
--- a/foxstep/peers/replica.py
+++ b/foxstep/peers/replica.py
@@ -33,7 +33,7 @@
         self.value, self.count, self.at = value, count, at
 
 
-def check(key, fact):
+def fact_checksum(key, fact):
     """Returns 56 bits of a fact, to be combined over a lane by XOR in any order."""
     data = msgspec.msgpack.encode((key, fact.count, fact.value))
     return int.from_bytes(blake2b(data, digest_size=7).digest(), "big")
@@ -55,17 +55,17 @@
         self.confirmed_at = None  # when its controller last stated that all of it is current
         self.is_unsorted = False  # facts above `top` have arrived early, so `facts` is not in order
 
-    def take(self, key, fact):
+    def apply(self, key, fact):
         known = self.facts.pop(key, None)
         if known is not None and known.value is not None:
-            self.checksum ^= check(key, known)
+            self.checksum ^= fact_checksum(key, known)
         self.tombstones -= known is not None and known.value is None
         self.facts[key] = fact
         if fact.value is None:
             self.tombstones += 1
             self.drop_old_tombstones()
         else:
-            self.checksum ^= check(key, fact)
+            self.checksum ^= fact_checksum(key, fact)
 
     def drop_old_tombstones(self):
         """Drops the oldest tombstones: a peer that has not seen them by then is sent the whole lane."""
@@ -94,34 +94,34 @@
 
     def __init__(self, me, epoch, lane_count, bytes_per_s, now):
         self.me = me
-        self.lanes = lane_count
+        self.lane_count = lane_count
         self.bytes_per_s = bytes_per_s
-        self.of = {(me, lane): Lane(epoch) for lane in range(lane_count)}
+        self.lane_by_key = {(me, lane): Lane(epoch) for lane in range(lane_count)}
         self.budget_bytes = bytes_per_s * BURST_S
         self.budget_updated_at = now
-        self.waiting = []  # (receiver, its digest)
+        self.pending_answers = []  # (receiver, its digest)
         self.changed = {}  # (controller, lane, key) of changed facts, as an ordered set
         self.newer_own_epoch = 0  # an epoch of this controller that peers know and it has never used itself
 
     def lane(self, origin, number):
-        return self.of.setdefault((origin, number), Lane(-1))
+        return self.lane_by_key.setdefault((origin, number), Lane(-1))
 
     # -- own facts
 
     def put(self, now, lane, key, value):
         """Writes an own fact, or removes it if `value` is None. Returns whether anything has changed."""
-        mine = self.of[self.me, lane]
+        mine = self.lane_by_key[self.me, lane]
         known = mine.facts.get(key)
         if (known.value if known else None) == value:
             return False
         mine.top += 1
-        mine.take(key, Fact(value, mine.top, now))
+        mine.apply(key, Fact(value, mine.top, now))
         return True
 
     def confirm(self, now):
         """States that all own facts are current."""
-        for lane in range(self.lanes):
-            self.of[self.me, lane].confirmed_at = now
+        for lane in range(self.lane_count):
+            self.lane_by_key[self.me, lane].confirmed_at = now
 
     def begin_epoch(self, epoch):
         """Writes all own facts again under a later epoch.
@@ -129,13 +129,13 @@
         Prevents counts from being used twice by a controller that restarts from an old store, after peers
         have seen them with other facts.
         """
-        for lane in range(self.lanes):
-            old, new = self.of[self.me, lane], Lane(epoch)
+        for lane in range(self.lane_count):
+            old, new = self.lane_by_key[self.me, lane], Lane(epoch)
             new.confirmed_at = old.confirmed_at
             for key, fact in old.live().items():
                 new.top += 1
-                new.take(key, Fact(fact.value, new.top, fact.at))
-            self.of[self.me, lane] = new
+                new.apply(key, Fact(fact.value, new.top, fact.at))
+            self.lane_by_key[self.me, lane] = new
 
     # -- anti-entropy
 
@@ -151,25 +151,25 @@
                 lane.checksum,
                 None if lane.confirmed_at is None else max(0, now - lane.confirmed_at),
             )
-            for (origin, number), lane in self.of.items()
+            for (origin, number), lane in self.lane_by_key.items()
             if origin != PREVIOUS_PROCESS
         ]
 
-    def asked(self, now, sender, digest):
+    def receive_digest(self, now, sender, digest):
         """Queues an answer with what the sender lacks."""
         known_there = {entry[:2]: entry[2:6] for entry in digest}
         for origin, number, epoch, top, _, checksum, age in digest:
             if origin == self.me:
-                mine = self.of.get((self.me, number))
+                mine = self.lane_by_key.get((self.me, number))
                 if mine and (epoch, top) > (mine.epoch, mine.top):
                     self.newer_own_epoch = max(self.newer_own_epoch, epoch)
                 continue
-            lane = self.of.get((origin, number))
+            lane = self.lane_by_key.get((origin, number))
             # The sender's confirmation applies to the copy here only if both copies are the same.
             if lane and age is not None and (lane.epoch, lane.top, lane.checksum) == (epoch, top, checksum):
                 lane.confirmed_at = max(lane.confirmed_at or 0, now - age)
-        self.waiting = [(to, known) for to, known in self.waiting if to != sender]
-        self.waiting = [*self.waiting, (sender, known_there)][-MAX_PENDING_ANSWERS:]
+        self.pending_answers = [(to, known) for to, known in self.pending_answers if to != sender]
+        self.pending_answers = [*self.pending_answers, (sender, known_there)][-MAX_PENDING_ANSWERS:]
 
     def next_answer(self, now, max_bytes):
         """Returns (receiver, changes) of at most about `max_bytes` that the budget allows now, or None."""
@@ -178,17 +178,17 @@
             self.budget_bytes + (now - self.budget_updated_at) / 1e6 * self.bytes_per_s,
         )
         self.budget_updated_at = now
-        while self.waiting and self.budget_bytes >= max_bytes:
-            to, known_there = self.waiting.pop(0)
+        while self.pending_answers and self.budget_bytes >= max_bytes:
+            to, known_there = self.pending_answers.pop(0)
             changes, size = self.changes_for(now, to, known_there, max_bytes)
             if changes:
                 self.budget_bytes -= size
                 # The next answer assumes that this one arrives. If it is lost, the receiver does not accept
                 # the next one as a continuation.
                 for origin, number, epoch, _, upto, _, _, _ in changes:
-                    lane = self.of[origin, number]
+                    lane = self.lane_by_key[origin, number]
                     known_there[origin, number] = (epoch, upto, lane.floor, lane.checksum)
-                self.waiting.append((to, known_there))
+                self.pending_answers.append((to, known_there))
                 return to, changes
         return None
 
@@ -199,7 +199,7 @@
         whole lane. Own facts come first, then the copies that are most behind.
         """
         behind = []
-        for (origin, number), lane in self.of.items():
+        for (origin, number), lane in self.lane_by_key.items():
             epoch, top, floor, checksum = known_there.get((origin, number), (-1, 0, 0, 0))
             if (
                 origin in (to, PREVIOUS_PROCESS)
@@ -254,16 +254,16 @@
             found.append(key)
         return [(key, lane.facts[key]) for key in reversed(found)]
 
-    def answered(self, now, changes):
+    def apply_changes(self, now, changes):
         """Applies an answer. Changes that build on an epoch not known here are ignored."""
         for origin, number, epoch, after, upto, floor, age, facts in changes:
-            lane = self.of.get((origin, number))
-            if origin == self.me or not 0 <= number < self.lanes or (lane and epoch < lane.epoch):
+            lane = self.lane_by_key.get((origin, number))
+            if origin == self.me or not 0 <= number < self.lane_count or (lane and epoch < lane.epoch):
                 continue
             if floor is not None:
                 for key in lane.live() if lane else ():
                     self.changed[origin, number, key] = None
-                lane = self.of[origin, number] = Lane(epoch)
+                lane = self.lane_by_key[origin, number] = Lane(epoch)
                 lane.floor = floor
             elif lane is None or epoch > lane.epoch:
                 continue  # the message that began the epoch was lost
@@ -274,7 +274,7 @@
                 if count > lane.top and (
                     known.count < count if known else len(lane.facts) < MAX_FACTS_PER_LANE
                 ):
-                    lane.take(key, Fact(value, count, now - fact_age))
+                    lane.apply(key, Fact(value, count, now - fact_age))
                     self.changed[origin, number, key] = None
             lane.is_unsorted = lane.is_unsorted or has_gap
             if upto >= lane.top and not has_gap:
@@ -288,10 +288,12 @@
     def peer_lanes(self, number):
         """Returns (controller, lane) of all other controllers for one lane number, by controller number."""
         return [
-            (origin, self.of[origin, n]) for origin, n in sorted(self.of) if n == number and origin != self.me
+            (origin, self.lane_by_key[origin, n])
+            for origin, n in sorted(self.lane_by_key)
+            if n == number and origin != self.me
         ]
 
     def lag(self, now, origin):
         """Microseconds since all facts held of a controller were confirmed, or None."""
-        ages = [lane.confirmed_at for (o, _), lane in self.of.items() if o == origin]
+        ages = [lane.confirmed_at for (o, _), lane in self.lane_by_key.items() if o == origin]
         return None if not ages or None in ages else now - min(ages)
--- a/foxstep/peers/notes.py
+++ b/foxstep/peers/transport.py
@@ -39,7 +39,7 @@
     updates: list[tuple[int, str, int, int]]
 
 
-class Notes:
+class PeerTransport:
     """Sends and receives one controller's messages.
 
     `proxy_count` returns the number of proxies served here. `drop_ratio` is the fraction of outgoing messages
@@ -73,7 +73,7 @@
         self.send_lock, self.write_lock = anyio.Lock(), anyio.Lock()
         self.decoder = msgspec.msgpack.Decoder(MembershipMessage | FactsMessage)
 
-    async def hear(self):
+    async def receive(self):
         async for data, _ in self.socket:
             body = data[CHECKSUM_BYTES:]
             try:
@@ -144,12 +144,12 @@
             self.invalid_messages += 1
             return
         if message.changes:
-            self.replica.answered(now, message.changes)
+            self.replica.apply_changes(now, message.changes)
         if message.digest and message.sender in self.membership.members:
-            self.replica.asked(now, message.sender, message.digest)
-            await self.answer_facts()
+            self.replica.receive_digest(now, message.sender, message.digest)
+            await self.send_answers()
 
-    async def answer_facts(self):
+    async def send_answers(self):
         """Sends the changes that peers lack, as far as the byte budget allows."""
         while (answer := self.replica.next_answer(self.clock(), MAX_FACTS_BYTES)) is not None:
             to, changes = answer
@@ -157,7 +157,7 @@
                 to, FactsMessage(self.site_name, self.membership.me, [], changes)
             )
 
-    async def ask_facts(self):
+    async def send_digest(self):
         """Sends this replica's digest to one live peer, round robin; it answers with what is lacking here."""
         others = [i for i in self.membership.alive() if i != self.membership.me]
         if others:
@@ -170,12 +170,12 @@
         """Ten times a period, sends what is due and logs state changes of peers."""
         while True:
             await self.send_due()
-            while self.membership.changes:
-                _, ident, state = self.membership.changes.popleft()
+            while self.membership.state_changes:
+                _, ident, state = self.membership.state_changes.popleft()
                 self.log.warning("peer", controller=ident, state=state, alive=self.membership.alive())
             await anyio.sleep(self.membership.period / SECOND_US / 10)
 
     async def run(self):
         async with self.socket, anyio.create_task_group() as group:
-            group.start_soon(self.hear)
+            group.start_soon(self.receive)
             group.start_soon(self.run_timer)
--- a/foxstep/sasp/balancer.py
+++ b/foxstep/sasp/balancer.py
@@ -9,7 +9,7 @@
 import structlog
 
 from foxstep.sasp import wire
-from foxstep.sasp.wire import Flag, Group, Kind, Member, Message
+from foxstep.sasp.wire import Flag, Group, Member, Message, MessageType
 
 REPLY_TIMEOUT_S = 5.0
 RECONNECT_DELAY_S = 0.3
@@ -28,7 +28,7 @@
     """The controller replied with a response code other than success."""
 
 
-class Balancer:
+class BalancerClient:
     """`groups` maps group names to servers. `on_weights(group)` is called when weights of a group arrive."""
 
     def __init__(
@@ -76,22 +76,26 @@
         async with self.stream, anyio.create_task_group() as group:
             group.start_soon(self.receive)
             await self.request(
-                Message(Kind.SET_LB_STATE_REQUEST, 0, balancer=self.ident, health=0x7F, flags=self.flags)
+                Message(
+                    MessageType.SET_LB_STATE_REQUEST, 0, balancer=self.ident, health=0x7F, flags=self.flags
+                )
             )
             for name in self.groups:
                 await self.synchronize_group(name)
             while True:
-                await self.get()
+                await self.get_weights()
                 await anyio.sleep(3600 if self.push else self.interval)
 
     async def synchronize_group(self, name):
         """Registers the servers that the controller has not kept from an earlier session, and deregisters
         those that are no longer in the group."""
         group = Group(self.ident, name.encode())
-        reply = await self.request(Message(Kind.GET_WEIGHTS_REQUEST, 0, (group,)), error=None)
+        reply = await self.request(Message(MessageType.GET_WEIGHTS_REQUEST, 0, (group,)), error=None)
         registered = {w.member.server(): w.member for _, weights in reply.groups for w in weights}
         if removed := tuple(m for server, m in registered.items() if server not in self.groups[name]):
-            await self.request(Message(Kind.DEREGISTRATION_REQUEST, 0, ((group, removed),), Flag.BALANCER))
+            await self.request(
+                Message(MessageType.DEREGISTRATION_REQUEST, 0, ((group, removed),), Flag.BALANCER)
+            )
         if added := [server for server in self.groups[name] if server not in registered]:
             await self.register([name], added)
 
@@ -100,7 +104,7 @@
         members = tuple(map(member_of, servers))
         return await self.request(
             Message(
-                Kind.REGISTRATION_REQUEST,
+                MessageType.REGISTRATION_REQUEST,
                 0,
                 tuple((Group(self.ident, group.encode()), members) for group in groups),
                 Flag.BALANCER,
@@ -123,9 +127,9 @@
         ):
             pass  # the next session registers what is missing
 
-    async def get(self):
+    async def get_weights(self):
         """Requests the weights of all groups."""
-        reply = await self.request(Message(Kind.GET_WEIGHTS_REQUEST, 0, (Group(self.ident, b""),)))
+        reply = await self.request(Message(MessageType.GET_WEIGHTS_REQUEST, 0, (Group(self.ident, b""),)))
         self.interval = max(reply.interval, 0.5)
         self.apply_weights(reply.groups)
 
@@ -146,7 +150,7 @@
         try:
             with anyio.fail_after(REPLY_TIMEOUT_S):
                 async with self.lock:
-                    await self.stream.send(wire.write(message._replace(message_id=message_id)))
+                    await self.stream.send(wire.encode(message._replace(message_id=message_id)))
                 await pending[0].wait()
         finally:
             self.pending.pop(message_id, None)
@@ -160,9 +164,9 @@
             while (length := wire.frame_length(self.buffer, MAX_MESSAGE_BYTES)) and len(
                 self.buffer
             ) >= length:
-                message = wire.read(bytes(self.buffer[:length]))
+                message = wire.decode(bytes(self.buffer[:length]))
                 del self.buffer[:length]
-                if message.kind == Kind.SEND_WEIGHTS:
+                if message.kind == MessageType.SEND_WEIGHTS:
                     self.apply_weights(message.groups)
                 elif message.message_id in self.pending:
                     self.pending[message.message_id][1] = message
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -13,7 +13,7 @@
 from foxstep.advice.advisor import line_name, split_line_name
 from foxstep.advice.registry import Registry, Result
 from foxstep.sasp import wire
-from foxstep.sasp.wire import Code, Flag, Kind, Message, Weight
+from foxstep.sasp.wire import Code, Flag, Message, MessageType, Weight
 from foxstep.tables.ledger import thousandths
 from foxstep.tables.manager import ADVICE
 
@@ -40,12 +40,12 @@
     Result.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER,
     Result.NO_CONTACT: Code.NO_CONTACT,
 }
-REPLY_KINDS = {
-    Kind.REGISTRATION_REQUEST: Kind.REGISTRATION_REPLY,
-    Kind.DEREGISTRATION_REQUEST: Kind.DEREGISTRATION_REPLY,
-    Kind.GET_WEIGHTS_REQUEST: Kind.GET_WEIGHTS_REPLY,
-    Kind.SET_LB_STATE_REQUEST: Kind.SET_LB_STATE_REPLY,
-    Kind.SET_MEMBER_STATE_REQUEST: Kind.SET_MEMBER_STATE_REPLY,
+REPLY_TYPES = {
+    MessageType.REGISTRATION_REQUEST: MessageType.REGISTRATION_REPLY,
+    MessageType.DEREGISTRATION_REQUEST: MessageType.DEREGISTRATION_REPLY,
+    MessageType.GET_WEIGHTS_REQUEST: MessageType.GET_WEIGHTS_REPLY,
+    MessageType.SET_LB_STATE_REQUEST: MessageType.SET_LB_STATE_REPLY,
+    MessageType.SET_MEMBER_STATE_REQUEST: MessageType.SET_MEMBER_STATE_REPLY,
 }
 
 
@@ -147,7 +147,7 @@
             except wire.UnsupportedVersion as unsupported:
                 self.front.log.warning("other version", why=str(unsupported))
                 return await self.send(
-                    Message(Kind.SET_LB_STATE_REPLY, unsupported.message_id, code=Code.NOT_UNDERSTOOD)
+                    Message(MessageType.SET_LB_STATE_REPLY, unsupported.message_id, code=Code.NOT_UNDERSTOOD)
                 )
             except wire.MalformedMessage as malformed:
                 self.front.log.warning("malformed", why=str(malformed))
@@ -157,34 +157,38 @@
     async def send(self, message):
         async with self.lock:
             with anyio.fail_after(WRITE_TIMEOUT_S):
-                await self.stream.send(wire.write(message._replace(length_convention=self.length_convention)))
+                await self.stream.send(
+                    wire.encode(message._replace(length_convention=self.length_convention))
+                )
 
     # -- received messages
 
     async def handle_message(self, data):
         try:
-            message = wire.read(data)
+            message = wire.decode(data)
         except wire.MalformedMessage as malformed:
             # Its frame was valid, so it can be answered, and the next message be read.
             kind = wire.COMPONENT.unpack_from(data, wire.HEADER_SIZE)[0]
             self.front.log.warning("not understood", why=str(malformed))
-            if kind not in list(REPLY_KINDS):
+            if kind not in list(REPLY_TYPES):
                 raise
             message_id = wire.HEADER.unpack_from(data)[4]
-            return await self.send(Message(REPLY_KINDS[Kind(kind)], message_id, code=Code.NOT_UNDERSTOOD))
-        if message.kind not in REPLY_KINDS:
             return await self.send(
-                Message(Kind.SET_LB_STATE_REPLY, message.message_id, code=Code.NOT_UNDERSTOOD)
+                Message(REPLY_TYPES[MessageType(kind)], message_id, code=Code.NOT_UNDERSTOOD)
+            )
+        if message.kind not in REPLY_TYPES:
+            return await self.send(
+                Message(MessageType.SET_LB_STATE_REPLY, message.message_id, code=Code.NOT_UNDERSTOOD)
             )
         self.length_convention = message.length_convention if message.groups else self.length_convention
         handlers = {
-            Kind.REGISTRATION_REQUEST: self.register_members,
-            Kind.DEREGISTRATION_REQUEST: self.deregister_members,
-            Kind.SET_LB_STATE_REQUEST: self.set_balancer_state,
-            Kind.SET_MEMBER_STATE_REQUEST: self.set_member_states,
+            MessageType.REGISTRATION_REQUEST: self.register_members,
+            MessageType.DEREGISTRATION_REQUEST: self.deregister_members,
+            MessageType.SET_LB_STATE_REQUEST: self.set_balancer_state,
+            MessageType.SET_MEMBER_STATE_REQUEST: self.set_member_states,
         }
-        reply = Message(REPLY_KINDS[message.kind], message.message_id)
-        if message.kind == Kind.GET_WEIGHTS_REQUEST:
+        reply = Message(REPLY_TYPES[message.kind], message.message_id)
+        if message.kind == MessageType.GET_WEIGHTS_REQUEST:
             code, groups, outlets = self.requested_weights(message)
             taken = [(outlet, *outlet.take_changes()[1:]) for outlet in outlets]
             await self.send(reply._replace(code=code, interval=self.front.poll_interval, groups=groups))
@@ -322,7 +326,7 @@
                     for group, weights in self.front.pushed_weights(outlet, balancer, lines):
                         # A push has no reply, so its message ID can carry the time of the order, in ms.
                         message_id = (ordered_at or 0) // 1000 % (1 << 32)
-                        await self.send(Message(Kind.SEND_WEIGHTS, message_id, ((group, weights),)))
+                        await self.send(Message(MessageType.SEND_WEIGHTS, message_id, ((group, weights),)))
                     outlet.mark_written(version, ordered_at)
             with anyio.move_on_after(WRITE_TIMEOUT_S):
                 await self.wake_push.wait()
--- a/foxstep/sasp/wire.py
+++ b/foxstep/sasp/wire.py
@@ -21,7 +21,7 @@
 IPV4_MAPPED, IPV4_COMPATIBLE = bytes(10) + b"\xff\xff", bytes(12)  # prefixes of an IPv4 address
 
 
-class Kind(IntEnum):
+class MessageType(IntEnum):
     """Message types."""
 
     REGISTRATION_REQUEST, REGISTRATION_REPLY = 0x1010, 0x1015
@@ -99,7 +99,7 @@
     `groups` holds pairs of a Group and its members, weights or states; only Groups in a Get Weights request.
     """
 
-    kind: Kind
+    kind: MessageType
     message_id: int
     groups: tuple = ()
     flags: int = 0
@@ -245,32 +245,36 @@
         return groups, self.offset - before
 
 
-def read(data):
+def decode(data):
     """Decodes a complete message, as delimited by `frame_length`. Raises MalformedMessage."""
     message_id = HEADER.unpack_from(data)[4]
     decoder = Decoder(data)
     start, length = decoder.offset, 0
     kind, length = decoder.unpack(COMPONENT)
-    if kind not in Kind.__members__.values():
+    if kind not in MessageType.__members__.values():
         raise MalformedMessage(f"expected a message, got type 0x{kind:04x}", start)
     fields, nested = {}, 0
-    if kind == Kind.SET_LB_STATE_REQUEST:
+    if kind == MessageType.SET_LB_STATE_REQUEST:
         fields = {"balancer": decoder.text(), "health": decoder.byte(), "flags": decoder.byte()}
-    elif kind == Kind.GET_WEIGHTS_REQUEST:
+    elif kind == MessageType.GET_WEIGHTS_REQUEST:
         fields["groups"], nested = decoder.groups(None, decoder.group)
-    elif kind == Kind.SEND_WEIGHTS:
+    elif kind == MessageType.SEND_WEIGHTS:
         fields["groups"], nested = decoder.groups(ComponentType.GROUP_OF_WEIGHTS, decoder.weight)
-    elif kind == Kind.GET_WEIGHTS_REPLY:
+    elif kind == MessageType.GET_WEIGHTS_REPLY:
         fields["code"] = decoder.byte()
         fields["interval"] = decoder.unpack(COUNT)[0]
         fields["groups"], nested = decoder.groups(ComponentType.GROUP_OF_WEIGHTS, decoder.weight)
-    elif kind in (Kind.REGISTRATION_REQUEST, Kind.DEREGISTRATION_REQUEST, Kind.SET_MEMBER_STATE_REQUEST):
+    elif kind in (
+        MessageType.REGISTRATION_REQUEST,
+        MessageType.DEREGISTRATION_REQUEST,
+        MessageType.SET_MEMBER_STATE_REQUEST,
+    ):
         fields["flags"] = decoder.byte()
-        if kind == Kind.DEREGISTRATION_REQUEST:
+        if kind == MessageType.DEREGISTRATION_REQUEST:
             fields["reason"] = decoder.byte()
         component_type, decode_entry = (
             (ComponentType.GROUP_OF_MEMBER_STATES, decoder.state)
-            if kind == Kind.SET_MEMBER_STATE_REQUEST
+            if kind == MessageType.SET_MEMBER_STATE_REQUEST
             else (ComponentType.GROUP_OF_MEMBERS, decoder.member)
         )
         fields["groups"], nested = decoder.groups(component_type, decode_entry)
@@ -279,7 +283,9 @@
     decoder.end((start, length), nested)
     if decoder.offset != len(data):
         raise MalformedMessage(f"{len(data) - decoder.offset} trailing bytes", decoder.offset)
-    return Message(Kind(kind), message_id, **fields, length_convention=decoder.length_convention or OWN)
+    return Message(
+        MessageType(kind), message_id, **fields, length_convention=decoder.length_convention or OWN
+    )
 
 
 def encode_component(component_type, convention, before, nested=b"", after=b""):
@@ -333,28 +339,34 @@
     return COUNT.pack(len(groups)), b"".join(encoded)
 
 
-def write(message):
+def encode(message):
     """Encodes a message with its header."""
     kind, convention, nested = message.kind, message.length_convention, b""
-    if kind == Kind.SET_LB_STATE_REQUEST:
+    if kind == MessageType.SET_LB_STATE_REQUEST:
         own = encode_text(message.balancer) + bytes((message.health, message.flags))
-    elif kind == Kind.GET_WEIGHTS_REQUEST:
+    elif kind == MessageType.GET_WEIGHTS_REQUEST:
         own, nested = COUNT.pack(len(message.groups)), b"".join(map(encode_group, message.groups))
-    elif kind == Kind.SEND_WEIGHTS:
+    elif kind == MessageType.SEND_WEIGHTS:
         own, nested = encode_groups(ComponentType.GROUP_OF_WEIGHTS, message.groups, convention)
-    elif kind == Kind.GET_WEIGHTS_REPLY:
+    elif kind == MessageType.GET_WEIGHTS_REPLY:
         own, nested = encode_groups(ComponentType.GROUP_OF_WEIGHTS, message.groups, convention)
         own = bytes((message.code,)) + COUNT.pack(message.interval) + own
-    elif kind in (Kind.REGISTRATION_REQUEST, Kind.DEREGISTRATION_REQUEST, Kind.SET_MEMBER_STATE_REQUEST):
+    elif kind in (
+        MessageType.REGISTRATION_REQUEST,
+        MessageType.DEREGISTRATION_REQUEST,
+        MessageType.SET_MEMBER_STATE_REQUEST,
+    ):
         component_type = (
             ComponentType.GROUP_OF_MEMBER_STATES
-            if kind == Kind.SET_MEMBER_STATE_REQUEST
+            if kind == MessageType.SET_MEMBER_STATE_REQUEST
             else ComponentType.GROUP_OF_MEMBERS
         )
         own, nested = encode_groups(component_type, message.groups, convention)
         own = (
             bytes(
-                (message.flags, message.reason) if kind == Kind.DEREGISTRATION_REQUEST else (message.flags,)
+                (message.flags, message.reason)
+                if kind == MessageType.DEREGISTRATION_REQUEST
+                else (message.flags,)
             )
             + own
         )
--- a/foxstep/standins/advised.py
+++ b/foxstep/standins/advised.py
@@ -2,7 +2,7 @@
 
 import grpc
 
-from foxstep.sasp.balancer import Balancer
+from foxstep.sasp.balancer import BalancerClient
 from foxstep.standins.caller import Caller
 
 
@@ -14,7 +14,7 @@
 
     def __init__(self, ident, address, groups, timeouts, record, clock, seed):
         super().__init__(ident, timeouts, record, clock, seed)
-        self.balancer = Balancer(ident, address, groups)
+        self.balancer = BalancerClient(ident, address, groups)
         self.channels = {}
 
     def channel_for(self, op_type):
