--- a/foxstep/measure/fleet.py
+++ b/foxstep/measure/fleet.py
@@ -17,7 +17,7 @@
 from foxstep.operate.service import TABLES as TABLE_METHODS
 from foxstep.site import read_site
 from foxstep.site.load import EXAMPLES
-from foxstep.standins.lists import ListService
+from foxstep.standins.list_service import ListService
 from foxstep.xds import resources
 from foxstep.xds.front import QUOTAS_FEATURE, TABLES_FEATURE
 
--- a/foxstep/measure/intake.py
+++ b/foxstep/measure/intake.py
@@ -27,7 +27,7 @@
 from foxstep.measure.fleet import SITE, Client, process_usage, stop_all
 from foxstep.operate.service import INSPECT, ask
 from foxstep.site import read_site
-from foxstep.standins.lists import ListService
+from foxstep.standins.list_service import ListService
 from foxstep.xds import load_reports
 
 CYCLE_US = 500_000
--- a/foxstep/measure/proxy.py
+++ b/foxstep/measure/proxy.py
@@ -17,7 +17,7 @@
 from foxstep.proxy.program import Proxy
 from foxstep.site import read_site
 from foxstep.site.load import EXAMPLES
-from foxstep.standins.lists import ListService
+from foxstep.standins.list_service import ListService
 
 # A gRPC server that echoes, and a TCP relay; each prints its port and runs in a process of its own.
 SERVER_SOURCE = """
--- a/foxstep/measure/sasp.py
+++ b/foxstep/measure/sasp.py
@@ -15,9 +15,9 @@
 from foxstep.sasp.balancer import BalancerClient, member_of
 from foxstep.sasp.wire import Group, Message, MessageType, Weight
 from foxstep.site.load import EXAMPLES
-from foxstep.standins.layout import MESSAGE
-from foxstep.standins.lists import ListService
+from foxstep.standins.list_service import ListService
 from foxstep.standins.ports import free_ports
+from foxstep.standins.sasp_layout import MESSAGE
 
 clock = time.monotonic
 
--- a/foxstep/measure/takeover.py
+++ b/foxstep/measure/takeover.py
@@ -20,7 +20,7 @@
 from foxstep.proxy.program import Proxy
 from foxstep.site import read_site
 from foxstep.site.load import EXAMPLES
-from foxstep.standins.lists import ListService
+from foxstep.standins.list_service import ListService
 from foxstep.standins.ports import free_ports
 
 clock = time.monotonic
--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -18,7 +18,7 @@
 from google.protobuf.message import DecodeError
 
 from foxstep.proxy.retries import NEVER, ONCE, PROVEN, TWICE
-from foxstep.proxy.table import Over, Refused
+from foxstep.proxy.table import ChangeRejected, StaleEpoch
 
 TYPE_PREFIX = "type.googleapis.com/envoy.config."
 ASSIGNMENT_TYPE = TYPE_PREFIX + "endpoint.v3.ClusterLoadAssignment"  # only its drop overloads are read
@@ -237,9 +237,9 @@
                 lines = self.apply_response(response)
                 if lines and self.stall_per_line:
                     self.forwarder.stall(lines * self.stall_per_line)
-            except Refused as refused:
+            except ChangeRejected as refused:
                 self.refusals = self.refusals + 1
-                stale = isinstance(refused, Over)
+                stale = isinstance(refused, StaleEpoch)
                 answer.error_detail.code = 3
                 answer.error_detail.message = str(refused)
                 self.log.warning("table refused", why=str(refused))
@@ -249,11 +249,11 @@
         raise EOFError("the controller ended the stream")
 
     def apply_response(self, response):
-        """Applies a response as a whole and returns its number of table lines. Raises Refused."""
+        """Applies a response as a whole and returns its number of table lines. Raises ChangeRejected."""
         try:
             return self.apply_parsed(response)
         except DecodeError as error:
-            raise Refused(f"not to be read: {error}"[:200]) from None
+            raise ChangeRejected(f"not to be read: {error}"[:200]) from None
 
     def apply_parsed(self, response):
         """Does the work of `apply_response`; also raises DecodeError for an unreadable resource."""
@@ -262,15 +262,15 @@
             for resource in response.resources:
                 line = endpoint_components_pb2.LbEndpoint()
                 if not resource.resource.Unpack(line):
-                    raise Refused(f"not a line but {resource.resource.type_url[:80]}")
+                    raise ChangeRejected(f"not a line but {resource.resource.type_url[:80]}")
                 address = line.endpoint.address.socket_address
                 server = resource.name.rpartition("/")[2]
                 host = f"[{address.address}]" if ":" in address.address else address.address
                 if server != f"{host}:{address.port_value}":
-                    raise Refused(f"a line named {server[:60]} for {host[:60]}:{address.port_value}")
+                    raise ChangeRejected(f"a line named {server[:60]} for {host[:60]}:{address.port_value}")
                 changed[server] = line.load_balancing_weight.value
             removed = [name.rpartition("/")[2] for name in response.removed_resources]
-            lines = self.table.take(response.system_version_info, changed, removed)
+            lines = self.table.apply(response.system_version_info, changed, removed)
             self.forwarder.set_table(self.table.lines)
             return lines
         if response.type_url == ASSIGNMENT_TYPE:
--- a/foxstep/proxy/forward.py
+++ b/foxstep/proxy/forward.py
@@ -227,7 +227,7 @@
             else:
                 if not failed:
                     return 0, load
-                if op.cancelled or op.number not in op.client.ops:
+                if op.cancelled or op.stream_id not in op.client.ops:
                     return True, load  # the trailers were passed on
                 raise TryFailed("cut", "the answer ended without a status")
 
--- a/foxstep/proxy/listener.py
+++ b/foxstep/proxy/listener.py
@@ -24,9 +24,9 @@
     `parts` holds the body received so far while a retry may need it, `released` counts the parts dropped.
     """
 
-    def __init__(self, client, number, headers):
+    def __init__(self, client, stream_id, headers):
         self.client = client
-        self.number = number
+        self.stream_id = stream_id
         self.headers = headers
         path = next((value for name, value in headers if name == b":path"), b"")
         self.path = path.decode("utf-8", "replace")
@@ -61,7 +61,7 @@
         """
         if not self.replayable:
             while self.released <= index and self.parts:
-                self.client.acknowledge(self.number, self.parts.pop(0)[1])
+                self.client.acknowledge(self.stream_id, self.parts.pop(0)[1])
                 self.released += 1
 
     # -- the answer
@@ -69,13 +69,13 @@
     def send_head(self, headers, end=False):
         """Sends the response headers; from then on the op can't be retried."""
         self.answer_began = True
-        self.client.send_headers(self.number, headers, end)
+        self.client.send_headers(self.stream_id, headers, end)
 
     async def send(self, data):
         await self.client.send(self, data)
 
     def finish(self, trailers):
-        self.client.send_headers(self.number, trailers, True)
+        self.client.send_headers(self.stream_id, trailers, True)
 
     def fail(self, status, text, retry_after=None):
         """Answers the op with an error status.
@@ -161,23 +161,23 @@
         op.cancelled = True
         if op.task:
             op.task.cancel()
-        self.ops.pop(op.number, None)
+        self.ops.pop(op.stream_id, None)
 
-    def acknowledge(self, number, flow_bytes):
+    def acknowledge(self, stream_id, flow_bytes):
         """Reopens the client's flow control windows by this many bytes."""
         if not self.closed and flow_bytes:
             try:
-                self.http2.acknowledge_received_data(flow_bytes, number)
+                self.http2.acknowledge_received_data(flow_bytes, stream_id)
                 self.flush()
             except h2.exceptions.ProtocolError:
                 pass  # the stream is closed
 
-    def send_headers(self, number, headers, end):
-        if self.closed or number not in self.ops:
+    def send_headers(self, stream_id, headers, end):
+        if self.closed or stream_id not in self.ops:
             return
-        self.http2.send_headers(number, headers, end_stream=end)
+        self.http2.send_headers(stream_id, headers, end_stream=end)
         if end:
-            op = self.ops.pop(number)
+            op = self.ops.pop(stream_id)
             for _, flow_bytes in op.parts:  # the parts that were not acknowledged
                 if flow_bytes:
                     self.http2.increment_flow_control_window(flow_bytes)
@@ -188,10 +188,10 @@
         offset = 0
         while offset < len(data) and not op.cancelled and not self.closed:
             window_bytes = min(
-                self.http2.local_flow_control_window(op.number), self.http2.max_outbound_frame_size
+                self.http2.local_flow_control_window(op.stream_id), self.http2.max_outbound_frame_size
             )
             if window_bytes > 0:
-                self.http2.send_data(op.number, data[offset : offset + window_bytes])
+                self.http2.send_data(op.stream_id, data[offset : offset + window_bytes])
                 offset += window_bytes
                 self.flush()
             else:
--- a/foxstep/proxy/table.py
+++ b/foxstep/proxy/table.py
@@ -7,11 +7,11 @@
 from hashlib import blake2b
 
 
-class Refused(ValueError):
+class ChangeRejected(ValueError):
     """A change was rejected; the message says why. The table is unchanged."""
 
 
-class Over(Refused):
+class StaleEpoch(ChangeRejected):
     """The change is from an older epoch: another controller has served this proxy since."""
 
 
@@ -39,37 +39,39 @@
         """server -> weight as sent to a controller on joining; empty for the static table."""
         return dict(self.lines) if self.name else {}
 
-    def take(self, info, changed, removed):
+    def apply(self, info, changed, removed):
         """Applies a change and returns its number of lines.
 
         `info`: "NAME BASE RESULT", the new version and the content hashes before and after; base "-" replaces
-        the table. `changed`: server -> weight in thousandths. `removed`: servers. Raises Refused and
+        the table. `changed`: server -> weight in thousandths. `removed`: servers. Raises ChangeRejected and
         leaves the table as it was.
         """
         try:
             name, base, result = info.split(" ")
         except ValueError:
-            raise Refused(f'expected "NAME BASE RESULT", got {info[:80]!r}') from None
+            raise ChangeRejected(f'expected "NAME BASE RESULT", got {info[:80]!r}') from None
         if any(not 0 < weight < 2**32 for weight in changed.values()):
-            raise Refused("a weight that is none")
+            raise ChangeRejected("a weight that is none")
         # Fences off a controller that believes it still owns this proxy: its successor has a later epoch.
         # The old controller learns of it by the rejection.
         epoch_text = name.partition(".")[0]
         epoch = int(epoch_text) if epoch_text.isdecimal() and len(epoch_text) < 20 else 0
         if epoch < self.epoch:
             self.refusals += 1
-            raise Over(f"epoch {epoch} is over, what is held is of {self.epoch}")
+            raise StaleEpoch(f"epoch {epoch} is over, what is held is of {self.epoch}")
         held = self.held()
         if base != "-" and base != content_hash(held):
             self.refusals += 1
-            raise Refused(f"builds on {base}, what is held is {content_hash(held)} {self.name}".rstrip())
+            raise ChangeRejected(
+                f"builds on {base}, what is held is {content_hash(held)} {self.name}".rstrip()
+            )
         lines = {} if base == "-" else held
         lines.update(changed)
         for server in removed:
             lines.pop(server, None)
         if content_hash(lines) != result:
             self.refusals += 1
-            raise Refused(f"comes to {content_hash(lines)} instead of {result}")
+            raise ChangeRejected(f"comes to {content_hash(lines)} instead of {result}")
         self.lines = lines
         self.name = name
         self.epoch = epoch
--- a/foxstep/standins/advised.py
+++ b/foxstep/standins/balancer.py
@@ -3,10 +3,10 @@
 import grpc
 
 from foxstep.sasp.balancer import BalancerClient
-from foxstep.standins.caller import Caller
+from foxstep.standins.client import ProxyClient
 
 
-class Advised(Caller):
+class AdvisedClient(ProxyClient):
     """A load client that picks the server itself. `balancer` receives the advice, one group for each op type.
 
     Without advice, and if no member has a weight, all members are picked alike.
--- a/foxstep/standins/caller.py
+++ b/foxstep/standins/client.py
@@ -9,7 +9,7 @@
 MAX_IN_FLIGHT = 400  # further ops are left out
 
 
-class Caller:
+class ProxyClient:
     """`timeouts`: op type -> seconds. Each op carries a unique id and the name of its proxy."""
 
     def __init__(self, ident, timeouts, record, clock, seed):
--- a/foxstep/standins/layout.py
+++ b/foxstep/standins/sasp_layout.py
@@ -33,7 +33,7 @@
 
 
 def group_of(kind, item):
-    return component(kind, count=Int16ub, group=GROUP, those=Array(this.count, item))
+    return component(kind, count=Int16ub, group=GROUP, members=Array(this.count, item))
 
 
 def groups_of(kind, item):
--- a/foxstep/standins/mail.py
+++ b/foxstep/standins/udp_relay.py
@@ -5,12 +5,12 @@
 import anyio
 
 
-class Mail:
-    """`ports`: the UDP port of each controller. `ways`: (from, to) -> relay socket."""
+class UdpRelay:
+    """`ports`: the UDP port of each controller. `sockets`: (from, to) -> relay socket."""
 
     def __init__(self, ports):
         self.ports = ports
-        self.ways = {}
+        self.sockets = {}
         self.cut = set()  # pairs (from, to) whose datagrams are dropped
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
@@ -22,7 +22,7 @@
                         relay_socket = await stack.enter_async_context(
                             await anyio.create_udp_socket(local_host="127.0.0.1")
                         )
-                        self.ways[a, b] = relay_socket
+                        self.sockets[a, b] = relay_socket
                         group.start_soon(self.relay, relay_socket, a, b)
             task_status.started()
 
@@ -33,4 +33,4 @@
 
     def address(self, a, b):
         """The address to which controller `a` sends datagrams for controller `b`."""
-        return f"127.0.0.1:{self.ways[a, b].extra(anyio.abc.SocketAttribute.local_port)}"
+        return f"127.0.0.1:{self.sockets[a, b].extra(anyio.abc.SocketAttribute.local_port)}"
