--- a/foxstep/commands/__init__.py
+++ b/foxstep/commands/__init__.py
@@ -4,7 +4,7 @@
 
 import click
 
-from foxstep.site import Trouble
+from foxstep.site import InputError
 
 
 class ErrorReportingGroup(click.Group):
@@ -13,6 +13,6 @@
     def invoke(self, ctx):
         try:
             return super().invoke(ctx)
-        except Trouble as error:
+        except InputError as error:
             click.echo(f"foxstep: {error}", err=True)
             sys.exit(2)
--- a/foxstep/commands/drill.py
+++ b/foxstep/commands/drill.py
@@ -36,7 +36,7 @@
         + (f", without the guard {', '.join(disabled_guards)}" if disabled_guards else "")
     )
     anyio.run(Player(day, site, path, folder, disabled_guards, decider, seed).run)
-    return Audit(read(folder), site.plain())
+    return Audit(read(folder), site.settings_map())
 
 
 def show(audit, max_error, baseline=None):
--- a/foxstep/commands/inspect.py
+++ b/foxstep/commands/inspect.py
@@ -6,16 +6,16 @@
 import click
 import grpc
 
-from foxstep.operate.service import INSPECT, ask
-from foxstep.site import Trouble
+from foxstep.operate.service import INSPECT_METHOD, call_controller
+from foxstep.site import InputError
 
 
 def run(address, raw):
-    """Prints the controller's view, or with `raw` the JSON of it. Raises Trouble if it's unreachable."""
+    """Prints the controller's view, or with `raw` the JSON of it. Raises InputError if it's unreachable."""
     try:
-        view = anyio.run(ask, address, INSPECT)
+        view = anyio.run(call_controller, address, INSPECT_METHOD)
     except grpc.RpcError as error:
-        raise Trouble(f"{address}: no controller answers there: {error.details()}") from None
+        raise InputError(f"{address}: no controller answers there: {error.details()}") from None
     if raw:
         click.echo(json.dumps(view, indent=1))
         return
--- a/foxstep/commands/line.py
+++ b/foxstep/commands/line.py
@@ -174,7 +174,7 @@
 @click.argument("site")
 def check(site):
     """Check SITE and print the settings that the decision module gets."""
-    for name, value in sorted(read_site(site).plain().items()):
+    for name, value in sorted(read_site(site).settings_map().items()):
         click.echo(f"{name} = {value}")
 
 
--- a/foxstep/commands/peers.py
+++ b/foxstep/commands/peers.py
@@ -6,7 +6,7 @@
 import click
 import grpc
 
-from foxstep.operate.service import PEERS, ask
+from foxstep.operate.service import PEERS_METHOD, call_controller
 
 
 def run(address, drain, move):
@@ -18,7 +18,7 @@
     request = {} if drain is None else {"drain": drain}
     request.update({"proxy": move[0], "to": move[1]} if move else {})
     try:
-        view = anyio.run(ask, address, PEERS, request)
+        view = anyio.run(call_controller, address, PEERS_METHOD, request)
     except grpc.RpcError as error:
         click.echo(f"foxstep: {address}: {error.details()}", err=True)
         sys.exit(1)
--- a/foxstep/commands/proxy.py
+++ b/foxstep/commands/proxy.py
@@ -17,7 +17,9 @@
     """
     host, _, port = listen.rpartition(":")
     op_types = [{"name": o.name, "method": o.method} for o in site.op_types]
-    proxy = Proxy(ident, zone, site.plain(), site.name, op_types, controllers, standing, time.monotonic)
+    proxy = Proxy(
+        ident, zone, site.settings_map(), site.name, op_types, controllers, standing, time.monotonic
+    )
     log = structlog.get_logger("foxstep.proxy")
 
     def started(port):
--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -79,7 +79,7 @@
     log = structlog.get_logger("foxstep")
     shared = shared or {}
     me = shared.get("me", site.controllers.me)
-    settings = {**site.plain(), "me": me, "zone": shared.get("zone") or site.zone}
+    settings = {**site.settings_map(), "me": me, "zone": shared.get("zone") or site.zone}
     capture_writers = []
     make = capturing(make, capture, capture_writers) if capture else make
     host = ServingHost(settings, seed, clock, wall, state, disabled_guards, make, site.reports.cpu_part)
--- a/foxstep/commands/servers.py
+++ b/foxstep/commands/servers.py
@@ -8,7 +8,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.endpoint.v3 import eds_pb2_grpc
 
-from foxstep.site import Trouble
+from foxstep.site import InputError
 from foxstep.xds import resources
 from foxstep.xds.listing import InvalidList, read_list
 
@@ -35,13 +35,13 @@
 
 
 def run(address, cluster):
-    """Prints one server a line. Raises Trouble if the service can't be reached or its list is invalid."""
+    """Prints one server a line. Raises InputError if the service can't be reached or its list is invalid."""
     try:
         servers = anyio.run(fetch, address, cluster)
     except grpc.RpcError as error:
-        raise Trouble(f"{address}: no list service answers there: {error.details()}") from None
+        raise InputError(f"{address}: no list service answers there: {error.details()}") from None
     except InvalidList as error:
-        raise Trouble(f"{address}: {error}") from None
+        raise InputError(f"{address}: {error}") from None
     for ident, zone, kind, _, state, size, started in sorted(servers):
         uptime = f"up {time.time() - started / 1e6:.0f} s" if started else "up for a long time"
         click.echo(f"{ident:24} {zone:12} {kind:12} {state:10} size {size:g}  {uptime}")
--- a/foxstep/commands/tables.py
+++ b/foxstep/commands/tables.py
@@ -6,18 +6,18 @@
 import click
 import grpc
 
-from foxstep.operate.service import TABLES, ask
-from foxstep.site import Trouble
+from foxstep.operate.service import TABLE_METHODS, call_controller
+from foxstep.site import InputError
 
 PROGRESS_INTERVAL_S = 0.2
 
 
 def call(address, verb, **fields):
-    """The response of the operator service to the tables request `verb`. Raises Trouble."""
+    """The response of the operator service to the tables request `verb`. Raises InputError."""
     try:
-        return anyio.run(ask, address, TABLES[verb], fields)
+        return anyio.run(call_controller, address, TABLE_METHODS[verb], fields)
     except grpc.RpcError as error:
-        raise Trouble(f"{address}: {error.details()}") from None
+        raise InputError(f"{address}: {error.details()}") from None
 
 
 def show_list(address, max_versions):
@@ -82,7 +82,7 @@
     """Orders a rollback, pin or table, and with `wait` prints its progress until it ends.
 
     Returns whether all proxies in the scope hold it; without `wait` True. Stops waiting after 10 s or 20
-    times the rollback's bound, whichever is longer. Raises Trouble.
+    times the rollback's bound, whichever is longer. Raises InputError.
     """
     fields = {"scope": scope, "version": version, "lines": lines}
     rollback = call(address, verb, **fields)
--- a/foxstep/drills/player.py
+++ b/foxstep/drills/player.py
@@ -21,7 +21,7 @@
 import grpc
 
 from foxstep.drills.record import Record
-from foxstep.operate.service import INSPECT, TABLES, ask
+from foxstep.operate.service import INSPECT_METHOD, TABLE_METHODS, call_controller
 from foxstep.proxy.program import Proxy
 from foxstep.standins.balancer import AdvisedClient
 from foxstep.standins.client import ProxyClient
@@ -51,7 +51,7 @@
         self, day, site, site_path, folder, disabled_guards=(), decider="balance", seed=1, echo=click.echo
     ):
         self.day = day
-        self.site = site.plain()
+        self.site = site.settings_map()
         self.site_path = site_path
         self.folder = folder
         # The proxy itself also never repeats a once-only op, so without the guard it is told of none.
@@ -281,7 +281,9 @@
                 times=[sums[1][s] for s in sums[0]],
             )
             with suppress(grpc.RpcError):
-                state = await ask(f"127.0.0.1:{self.ports[0]}", INSPECT, {"brief": True}, within=2.0)
+                state = await call_controller(
+                    f"127.0.0.1:{self.ports[0]}", INSPECT_METHOD, {"brief": True}, timeout_s=2.0
+                )
                 estimates = state["estimates"]
                 intake = state["intake"]
                 self.record(
@@ -587,7 +589,7 @@
         """Asks the operator service of the first controller, and retries while that is unavailable."""
         while True:
             try:
-                return await ask(f"127.0.0.1:{self.ports[0]}", TABLES[verb], question)
+                return await call_controller(f"127.0.0.1:{self.ports[0]}", TABLE_METHODS[verb], question)
             except grpc.RpcError as error:
                 if error.code() not in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED):
                     raise
--- a/foxstep/measure/fleet.py
+++ b/foxstep/measure/fleet.py
@@ -13,8 +13,7 @@
 from envoy.service.discovery.v3 import ads_pb2_grpc, discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2, lrs_pb2_grpc
 
-from foxstep.operate.service import INSPECT, ask
-from foxstep.operate.service import TABLES as TABLE_METHODS
+from foxstep.operate.service import INSPECT_METHOD, TABLE_METHODS, call_controller
 from foxstep.site import read_site
 from foxstep.site.load import EXAMPLES
 from foxstep.standins.list_service import ListService
@@ -215,7 +214,7 @@
 async def measure_orders(figures, address, controller, lists, idents, zones, clients, seconds):
     """Measures orders while one server after the other drains and returns, twice a second."""
     before, _ = process_usage(controller.pid)
-    state = await ask(address, INSPECT)
+    state = await call_controller(address, INSPECT_METHOD)
     sent = state["channel"]
     began = clock()
     k = 0
@@ -226,7 +225,7 @@
         k += 1
         await anyio.sleep(0.5)
     await anyio.sleep(1.0)
-    state = await ask(address, INSPECT)
+    state = await call_controller(address, INSPECT_METHOD)
     after, resident = process_usage(controller.pid)
     answer = state["order_to_answer_ms"]
     channel = state["channel"]
@@ -247,16 +246,16 @@
 
 async def measure_rollback(figures, address):
     """Rolls the fleet back to a version of some seconds ago, and measures until all proxies hold it."""
-    versions = (await ask(address, TABLE_METHODS["list"], {"most": 1000}))["versions"]
+    versions = (await call_controller(address, TABLE_METHODS["list"], {"most": 1000}))["versions"]
     began = clock()
-    answer = await ask(
+    answer = await call_controller(
         address,
         TABLE_METHODS["rollback"],
         {"scope": "fleet", "version": versions[len(versions) // 2]["version"]},
     )
     with anyio.fail_after(60):
         while True:
-            rollback = (await ask(address, TABLE_METHODS["progress"]))["rollbacks"][-1]
+            rollback = (await call_controller(address, TABLE_METHODS["progress"]))["rollbacks"][-1]
             if rollback["state"] == "done" and rollback["settled"] >= rollback["covered"]:
                 break
             await anyio.sleep(0.01)
@@ -273,7 +272,7 @@
     rate = 1000.0
     best = 0.0
     while rate <= 2_000_000:
-        taken = (await ask(address, INSPECT, {"brief": True}))["intake"]["taken"]
+        taken = (await call_controller(address, INSPECT_METHOD, {"brief": True}))["intake"]["taken"]
         began = clock()
         sent_lines = 0
         k = 0
@@ -284,7 +283,7 @@
             else:
                 await anyio.sleep(0.002)
         took = clock() - began
-        state = await ask(address, INSPECT, {"brief": True}, within=30)
+        state = await call_controller(address, INSPECT_METHOD, {"brief": True}, timeout_s=30)
         figures["lag_ms"] = state["lag_ms"]
         read_rate = (state["intake"]["taken"] - taken) / took
         if state["lag_ms"] > MAX_LAG_MS or read_rate < rate * 0.7:
--- a/foxstep/measure/intake.py
+++ b/foxstep/measure/intake.py
@@ -25,7 +25,7 @@
 from foxstep.intake.latencies import Latencies
 from foxstep.measure.baseline_intake import BaselineIntake
 from foxstep.measure.fleet import SITE, Client, process_usage, stop_all
-from foxstep.operate.service import INSPECT, ask
+from foxstep.operate.service import INSPECT_METHOD, call_controller
 from foxstep.site import read_site
 from foxstep.standins.list_service import ListService
 from foxstep.xds import load_reports
@@ -368,7 +368,7 @@
 async def measure_orders(address, controller, lists, idents, zones, seconds):
     """Drains one server after the other and lets it return; returns the figures of that time."""
     before = process_usage(controller.pid)[0]
-    state = await ask(address, INSPECT)
+    state = await call_controller(address, INSPECT_METHOD)
     lines_before = state["intake"]["taken"]
     answers_before = state["order_to_answer_ms"]["count"]
     began = time.monotonic()
@@ -379,8 +379,8 @@
             lists.set(idents[index], zones[index % 2], "plain", health, at_once=True)
         k += 1
         await anyio.sleep(0.5)
-        lag = max(lag, (await ask(address, INSPECT, {"brief": True}))["lag_ms"])
-    state = await ask(address, INSPECT)
+        lag = max(lag, (await call_controller(address, INSPECT_METHOD, {"brief": True}))["lag_ms"])
+    state = await call_controller(address, INSPECT_METHOD)
     took = time.monotonic() - began
     answer = state["order_to_answer_ms"]
     return {
--- a/foxstep/measure/proxy.py
+++ b/foxstep/measure/proxy.py
@@ -190,7 +190,7 @@
                     Proxy(
                         f"p{k}",
                         "east",
-                        site.plain(),
+                        site.settings_map(),
                         site.name,
                         op_types,
                         [f"127.0.0.1:{port}"],
--- a/foxstep/measure/takeover.py
+++ b/foxstep/measure/takeover.py
@@ -44,7 +44,15 @@
                 orders["controllers"][k % len(site.zones) :] + orders["controllers"][: k % len(site.zones)]
             )
             proxies[k] = Proxy(
-                f"proxy-{k}", zone, site.plain(), site.name, kinds, order, orders["standing"], clock, 5.0
+                f"proxy-{k}",
+                zone,
+                site.settings_map(),
+                site.name,
+                kinds,
+                order,
+                orders["standing"],
+                clock,
+                5.0,
             )
             group.start_soon(proxies[k].control.run)
         epochs = dict.fromkeys(proxies, 0)
--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -6,9 +6,9 @@
 from foxstep.tables.manager import OrderError
 
 PREFIX = "/foxstep.Operator/"
-INSPECT = PREFIX + "Inspect"
-PEERS = PREFIX + "Peers"
-TABLES = {
+INSPECT_METHOD = PREFIX + "Inspect"
+PEERS_METHOD = PREFIX + "Peers"
+TABLE_METHODS = {
     verb: f"{PREFIX}Tables{verb.title()}"
     for verb in ("list", "show", "diff", "pin", "rollback", "unpin", "put", "progress")
 }
@@ -18,15 +18,15 @@
 class OperatorService(grpc.GenericRpcHandler):
     """Answers operators' requests to the controller of `host`.
 
-    `sharing` coordinates it with the other controllers; None if it has no peers. An invalid
+    `peer_coordinator` coordinates it with the other controllers; None if it has no peers. An invalid
     request is answered with the status INVALID_ARGUMENT and a message of one line.
     """
 
-    def __init__(self, host, sharing=None):
+    def __init__(self, host, peer_coordinator=None):
         self.host = host
-        self.sharing = sharing
-        self.methods = {INSPECT: self.inspect, PEERS: self.peers}
-        for verb, method in TABLES.items():
+        self.peer_coordinator = peer_coordinator
+        self.methods = {INSPECT_METHOD: self.inspect, PEERS_METHOD: self.peers}
+        for verb, method in TABLE_METHODS.items():
             self.methods[method] = getattr(self, f"tables_{verb}")
 
     def service(self, handler_call_details):
@@ -55,20 +55,22 @@
         "drain" true or false starts or stops redirecting all proxies of this controller to the others;
         "proxy" and "to" redirect one proxy to the controller with that number. Raises OrderError.
         """
-        if self.sharing is None:
+        if self.peer_coordinator is None:
             raise OrderError("this controller was started without peers")
         if "drain" in request:
-            self.sharing.redirect_scheduler.draining = bool(request["drain"])
+            self.peer_coordinator.redirect_scheduler.draining = bool(request["drain"])
         if request.get("proxy"):
             self.redirect_proxy(request["proxy"], int(request["to"]))
-        return self.sharing.view()
+        return self.peer_coordinator.view()
 
     def redirect_proxy(self, proxy, to):
-        if to not in self.sharing.peers:
-            raise OrderError(f"no controller {to}: expected one of {', '.join(map(str, self.sharing.peers))}")
+        if to not in self.peer_coordinator.peers:
+            raise OrderError(
+                f"no controller {to}: expected one of {', '.join(map(str, self.peer_coordinator.peers))}"
+            )
         if proxy not in self.host.redirectable_proxies():
             raise OrderError(f"{proxy!r} is not joined here, or does not accept a redirect")
-        self.host.redirect(proxy, self.sharing.peers[to][1])
+        self.host.redirect(proxy, self.peer_coordinator.peers[to][1])
 
     def proxy_zones(self):
         return {ident: joined.zone for ident, joined in self.host.joined_proxies.items()}
@@ -161,12 +163,12 @@
         }
 
 
-async def ask(address, method, request=None, within=5.0):
+async def call_controller(address, method, request=None, timeout_s=5.0):
     """Calls a method of the operator service at `address` and returns the decoded response.
 
-    `within` is the timeout in seconds. Raises grpc.RpcError.
+    `timeout_s` is the timeout in seconds. Raises grpc.RpcError.
     """
     options = [("grpc.max_receive_message_length", MAX_RESPONSE_BYTES)]
     async with grpc.aio.insecure_channel(address, options=options) as channel:
-        response = await channel.unary_unary(method)(msgspec.json.encode(request or {}), timeout=within)
+        response = await channel.unary_unary(method)(msgspec.json.encode(request or {}), timeout=timeout_s)
         return msgspec.json.decode(response)
--- a/foxstep/site/types.py
+++ b/foxstep/site/types.py
@@ -187,7 +187,7 @@
         if self.channel.backlog < min_lines:
             raise ValueError(f"Expected channel.backlog to take one whole table ({min_lines} lines or more)")
 
-    def plain(self):
+    def settings_map(self):
         """The settings that the decision module gets, as a flat map with the names of `simhost/names.py`.
 
         Durations are in microseconds.
