--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -159,7 +159,7 @@
     """Runs `serve` with the decision module of that name; see there for the arguments."""
     make = Controller
     if decider == "even":
-        from foxstep.drills.even import Even as make
+        from foxstep.drills.round_robin import RoundRobin as make
     anyio.run(
         serve,
         site,
--- a/foxstep/drills/audit.py
+++ b/foxstep/drills/audit.py
@@ -19,13 +19,13 @@
 class Verdict:
     """The result of one rule: its number, a summary of what was examined, and the violations found."""
 
-    def __init__(self, rule, looked_at):
+    def __init__(self, rule, summary):
         self.rule = rule
-        self.looked_at = looked_at
-        self.breaks = []
+        self.summary = summary
+        self.violations = []
 
     def add_violation(self, at, text):
-        self.breaks.append((at, text))
+        self.violations.append((at, text))
 
 
 class Audit:
@@ -266,7 +266,7 @@
                     verdict.add_violation(
                         at, f"{waiting} lines wait, but the backlog may hold {self.site['backlog']:.0f}"
                     )
-        verdict.looked_at += f", at most {max_waiting} lines waiting"
+        verdict.summary += f", at most {max_waiting} lines waiting"
         allowed, window = self.site["messages_most"], self.site["messages_window"] * US_TO_S
         if allowed:
             times = defaultdict(list)
@@ -300,7 +300,7 @@
 
     # -- picks
 
-    def picks(self):
+    def pick_statistics(self):
         """Tests with chi-square whether proxies pick servers in proportion to their weights.
 
         Returns (chi-square, degrees of freedom, bound at a significance of one in a thousand), over the
@@ -331,7 +331,7 @@
 
     # -- rollbacks
 
-    def convergence(self):
+    def rollback_convergence(self):
         """How each rollback spread, judged from the versions written and the answers to them.
 
         A list of (time of the order, version, bound, part of the bound for absences of the controller,
@@ -387,7 +387,7 @@
 
     # -- owners
 
-    def ownerless(self):
+    def ownership_gaps(self):
         """How long proxies had no owner after each kill or suspension of a controller.
 
         A list of (event, seconds until the last of its proxies had a table from another process or
@@ -429,7 +429,7 @@
         grace, lines = self.site["grace"] * US_TO_S, self.site["standing"] + self.site["head"] + 1
         return 7 / 8 * grace + 2 * 0.2 + proxies * lines / self.site["lines_per_s"]
 
-    def fenced(self):
+    def epoch_violations(self):
         """Checks that no proxy accepts a table of a lower epoch than one that it accepted before.
 
         Returns (number of accepted tables, [(time, text)] of those with a lower epoch). The epoch is the
@@ -450,7 +450,7 @@
                 highest[row["proxy"]] = max(epoch, before)
         return accepted, older
 
-    def heals(self):
+    def zone_recoveries(self):
         """How proxies return to a controller of their own zone after each partition between controllers.
 
         A list of (seconds until the last proxy was back for good, number of proxies that were elsewhere,
@@ -515,7 +515,7 @@
 
     # -- estimates
 
-    def estimates(self):
+    def estimate_errors(self):
         """Errors of the controller's estimates against what reporters and clients did.
 
         Maps "demand", "acked" and "latency" to [(time, error)]. An error is how far the estimate lies outside
@@ -591,7 +591,7 @@
         """Names of the balancers that got advice over SASP, in order of their first message."""
         return list(dict.fromkeys(row["proxy"] for row in self.rows["advised"]))
 
-    def service(self, interval_s=10.0):
+    def earnings_ratios(self, interval_s=10.0):
         """Earnings of ops as a fraction of the earnings they could bring.
 
         An op earns fully if acked within its target latency, and partly if acked later. Keys are (op type,
@@ -614,12 +614,12 @@
                 earned[key] += earnings
         return {key: earned[key] / possible[key] for key in possible}
 
-    def outcomes(self):
+    def outcome_counts(self):
         """How many ops of the day ended in which outcome."""
         return Counter(
             row["outcome"].split(":")[0] for row in self.rows["op"] if self.begin <= row["began"] <= self.end
         )
 
-    def refusals(self):
+    def refused_answers(self):
         """The answers of proxies that refuse a response."""
         return [row for row in self.rows["answer"] if row["refusal"]]
--- a/foxstep/drills/even.py
+++ b/foxstep/drills/round_robin.py
@@ -1,7 +1,7 @@
 """The baseline of the drills: every proxy gets every open server of the list, with equal weights."""
 
 
-class Even:
+class RoundRobin:
     """A decision module (see `foxstep/interface.py`) that does plain round robin over the server list."""
 
     def __init__(self, now, site, seed):
