--- a/foxstep/advice/registry.py
+++ b/foxstep/advice/registry.py
@@ -22,7 +22,7 @@
 
 
 class Entry:
-    """A server registered in a group. `shown` is the front's own object for it, not read here."""
+    """A server registered in a group. `shown` is how the protocol's front end names it; not read here."""
 
     __slots__ = ("shown", "by_balancer", "state", "quiesced")
 
@@ -39,7 +39,9 @@
     def __init__(self, ident):
         self.ident = ident
         self.groups = {}  # group -> {server: Entry}, in order of registration
-        self.push = self.trust = self.changes_only = False  # `trust`: members may register themselves
+        # `push`: weights are sent without a request. `trust`: members may register themselves.
+        # `changes_only`: only the weights that have changed are sent.
+        self.push = self.trust = self.changes_only = False
         self.health = 0
         self.disconnected_since = None  # microseconds; None while it is connected
 
--- a/foxstep/balance.py
+++ b/foxstep/balance.py
@@ -162,7 +162,7 @@
         server.health_changed_at = now
         server.withdrawals = server.probe_successes = server.probe_failures = server.probe_sent_at = 0
 
-    def woken(self, now, mark): ...
+    def woken(self, now, mark): ...  # nothing to update: the host asks for orders after this input
 
     def bucket_time(self, now):
         """Time to be used with sliding windows: it puts each round of reports into a bucket of its own, since
@@ -193,13 +193,13 @@
             in_progress = load.get("waiting", load.get("holding", 0.0))
             server.loads.add(self.bucket_time(now), 1, load.get("busy", 0.0), in_progress)
 
-    def told(self, now, peer, payload): ...
+    def told(self, now, peer, payload): ...  # this module sends and reads no messages between controllers
 
     def learnt(self, now, ident, weight, withdrawn):
         """Takes a weight and a withdrawal from another controller, or from this one before a restart. They
         are used only while this controller has no tries of its own at the server.
 
-        Guards against a successor that has to learn the weights and the failing servers anew. Drawback: a
+        Guards against a successor that has to learn the weights and the failing servers again. Drawback: a
         wrong value stays until own tries or probes correct it; only a small part of the servers is withdrawn
         this way.
         """
@@ -426,7 +426,7 @@
     def remove_gone_servers(self):
         """Forgets servers that have been gone for long and that no joined proxy holds, and removes their
         lines from the tables of proxies that left. Guards against a list whose names change all the time.
-        Drawback: a server that returns after all is learnt anew."""
+        Drawback: the weight of a server that returns after all has to be learnt again."""
         gone_before = self.now - self.site.get("ramp", 0) - 8 * self.cycle
         for ident, server in list(self.servers.items()):
             long_gone = server.gone_at is not None and server.gone_at < gone_before
@@ -698,8 +698,8 @@
         """The weight of every server that may be picked. A new server gets the mean weight of its kind,
         scaled by its listed weight.
 
-        A cold server gets what it can safely do: nothing until its first burst fits, and less or nothing
-        while tries fail across the fleet, since proxies then eject other lines and all ops go to the
+        A cold server gets what it can safely do: nothing until it can take a first burst of ops, and less or
+        nothing while tries fail across the fleet, since proxies then eject other lines and all ops go to the
         remaining ones. If no server is warm, none is withdrawn: the whole load of a proxy would overload a
         cold one. Drawback: after many servers crash, the others carry the load a few seconds longer."""
         candidates = self.open_servers()
@@ -753,8 +753,9 @@
         """How many lines of the shared table a proxy holds: all on a small fleet.
 
         On a large fleet it is at least the site's number, and by the proxy's fraction of all ops so many that
-        no server gets all of its bursts; more as far as the channel allows, but none that its ops are too few
-        to keep connected. Drawback: a proxy whose rate rises suddenly has to wait for lines."""
+        no single server gets a whole burst of its ops; more as far as the channel allows, but none that its
+        ops are too few to keep connected. Drawback: a proxy whose rate rises suddenly has to wait for
+        lines."""
         proxy_fraction = proxy.total_rate / max(self.active_rate, 0.1)
         head = self.site.get("head", 0)
         min_lines = max(self.site.get("standing", 6), SPREAD_FACTOR * proxy_fraction * len(self.shared_table))
--- a/foxstep/interface.py
+++ b/foxstep/interface.py
@@ -55,7 +55,7 @@
         ...
 
     def joined(self, now: int, proxy: int, zone: str, rate: float, fresh: bool) -> None:
-        """A proxy has connected. `rate`: ops a second that it usually gets."""
+        """A proxy has connected. `rate`: ops a second that it usually gets. `fresh`: it reports no table."""
         ...
 
     def left(self, now: int, proxy: int) -> None:
@@ -90,7 +90,8 @@
 
     def learnt(self, now: int, server: str, weight: float, withdrawn: bool) -> None:
         """What another controller, or this one before a restart, knew of a server: its usual weight relative
-        to the mean of all, and whether it was withdrawn. For a controller without tries of its own there."""
+        to the mean of all, and whether it was withdrawn. Used only while the controller has too few tries of
+        its own there."""
 
     def measured_weights(self, now: int) -> dict[str, float]:
         """The usual weight of each open server that this controller has enough tries of its own for. Other
--- a/foxstep/live/channel.py
+++ b/foxstep/live/channel.py
@@ -3,8 +3,8 @@
 No I/O; the time is passed in. At most `backlog` lines wait, message heads included, and no proxy is written
 more than `max_messages` messages within the window. Each proxy has at most one message waiting and later ones
 are merged into it, so a proxy that cannot be written costs a bounded number of lines and delays no other.
-Messages beyond these limits are deferred: they are kept beside the queue, do not count as waiting, and enter
-the queue as soon as there is room.
+Messages beyond these limits are deferred: they are kept apart from the queue, do not count as waiting, and
+enter the queue as soon as there is room.
 """
 
 from collections import deque
@@ -13,7 +13,11 @@
 
 
 class Channel:
-    """`bounded` is False only in a drill that shows what the limits of the queue are for."""
+    """The queue of messages to all proxies, sent at `lines_per_s`.
+
+    `max_messages`: messages to one proxy within `messages_window` microseconds; 0 for no limit. `bounded` is
+    False only in a drill that shows what the limits of the queue are for.
+    """
 
     def __init__(self, lines_per_s, backlog, max_messages=0, messages_window=10 * SECOND_US, bounded=True):
         self.lines_per_s, self.backlog = lines_per_s, backlog
--- a/foxstep/live/desired_state.py
+++ b/foxstep/live/desired_state.py
@@ -125,7 +125,7 @@
         self.holdings = {}  # proxy -> Holding, as written
         self.bindings = {}  # proxy -> table for each op type index, as ordered
         self.batch = {}  # proxy -> Message of the current batch
-        self.withdrawn_by_proxy = {}  # proxy -> servers that it was told are withdrawn
+        self.withdrawn_by_proxy = {}  # proxy -> servers withdrawn by the orders for it
         self.unaddressed = {}  # proxies without any order since they joined; an ordered set
         self.bound_proxies = {}  # table -> proxies bound to it, as an ordered set
 
--- a/foxstep/live/host.py
+++ b/foxstep/live/host.py
@@ -1,9 +1,9 @@
 """Runs one decision module: calls its inputs as events arrive and carries out its orders.
 
-Fronts call the inputs below from the event loop and pass a `ProxyStream` for each stream. Its
-`deliver(holding, message)` must not block: it only notes that the proxy is to be written. This module knows
-no wire protocol and makes no decisions: orders of the decision module go to the channel, and what the channel
-releases is written.
+The fronts, the servers of the wire protocols, call the inputs below from the event loop and pass a
+`ProxyStream` for each stream. Its `deliver(holding, message)` must not block: it only notes that the proxy is
+to be written. This module knows no wire protocol and makes no decisions: orders of the decision module go to
+the channel, and what the channel releases is written.
 
 This is all that a controller needs if it keeps nothing across restarts and receives its reports summed;
 `foxstep/live/serving.py` adds versions, a store and the intake of raw reports.
@@ -36,7 +36,10 @@
 
 
 class JoinedProxy:
-    """A client with an open stream: a proxy or, if `rate` is None, an advised balancer."""
+    """A client with an open stream: a proxy or, if `rate` is None, an advised balancer.
+
+    An advised balancer is sent weights for groups of servers that it names itself (`foxstep/advice/`).
+    """
 
     def __init__(self, ident, zone, rate, stream):
         self.ident, self.zone, self.rate, self.stream = ident, zone, rate, stream
@@ -57,7 +60,7 @@
         self.log = structlog.get_logger("foxstep.live")
         now = clock()
         self.wall, self.wall_offset = wall, wall() - now
-        # With its "queue" guard disabled, the decision module is told that the channel has no limits.
+        # With its "queue" guard disabled, the decision module gets settings without channel limits.
         module_site = (
             {**site, "backlog": 1e9, "lines_per_s": 1e9} if "queue" in self.disabled_guards else site
         )
@@ -201,8 +204,8 @@
     def allowed_tries(self, index, tries):
         """Limits the tries of once-only op types, which must not run twice.
 
-        A once-only op may be tried again only with proof that its first try never ran. This limit costs
-        nothing that the rules count.
+        A once-only op may be tried again only with proof that its first try never ran. This has no drawback
+        by the rules of the site.
         """
         return (
             min(tries, 1)
--- a/foxstep/live/repair.py
+++ b/foxstep/live/repair.py
@@ -1,9 +1,9 @@
 """Schedules the full table for a proxy that refused an update. No I/O, no clock.
 
-A proxy that refuses keeps its old table, so the decision module's view of it is wrong. The module is told
-that the proxy joined anew and binds it again. Each refusal in a row doubles the delay, which limits the cost
-of a table that the proxy can never accept. The drawback: a proxy that could accept the next table at once
-waits too.
+A proxy that refuses keeps its old table, so the decision module's view of it is wrong. It is reported to the
+module as joined again, and the module binds it again. Each refusal in a row doubles the delay, which limits
+the cost of a table that the proxy can never accept. The drawback: a proxy that could accept the next table at
+once waits too.
 """
 
 
--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -67,7 +67,7 @@
         """Replaces list lines of servers of which other controllers know something newer than this list.
 
         `line_overrides`: server -> the line that replaces its list line. `lines`: those of them that the
-        decision module is to be told now, in place of what it was told before.
+        decision module is to be given now, in place of those that it has.
         """
         self.line_overrides = line_overrides
         if lines:
@@ -82,7 +82,7 @@
             self.request_run(f"learnt {len(facts)}")
 
     def inherited(self, capacity):
-        """Capacity in ops a second that came with proxies of other controllers; below 0: went with them."""
+        """Capacity in ops a second of proxies that moved here from other controllers; below 0: moved away."""
         self.log.info("inherited", part=round(capacity, 1), capacity=self.controller.capacity)
         self.controller.inherited(self.clock(), capacity)
         self.request_run("inherited")
@@ -122,7 +122,7 @@
         try:
             held = Version.parse(held_version) if held_version else None
         except ValueError:
-            held = None  # written by some other control server; it tells nothing
+            held = None  # written by some other control server; ignored
         super().register(ident, zone, rate, stream, held_version)
         if self.table_manager.ledger.epoch < (held.epoch if held else 0):
             self.log.warning("outranked", proxy=ident, holds=str(held))
@@ -167,7 +167,7 @@
             self.request_run(f"applied {ident}")
 
     def refused(self, ident, stream, reason, version=None):
-        """A proxy keeps its old table. When the repair is due, the module is told that it joined anew."""
+        """A proxy keeps its old table. When the repair is due, the module is called as if it joined again."""
         joined = self.joined_through(ident, stream)
         if joined is None:
             return
@@ -186,8 +186,8 @@
 
     def shape(self, now, messages):
         zones = {ident: joined.zone for ident, joined in self.joined_proxies.items()}
-        standing = self.controller.server_weights()
-        allowed = {server: weight / usual for server, (weight, usual, _) in standing.items() if weight}
+        server_weights = self.controller.server_weights()
+        allowed = {server: weight / usual for server, (weight, usual, _) in server_weights.items() if weight}
         waiting = self.channel.lines_waiting(now) + sum(message.cost for message in messages)
         return self.table_manager.shape(
             now,
@@ -196,7 +196,7 @@
             zones,
             allowed,
             "; ".join(self.causes),
-            standing if self.table_manager.advice.balancers else None,
+            server_weights if self.table_manager.advice.balancers else None,
             waiting,
         )
 
@@ -211,10 +211,10 @@
             if self.channel.deferred:  # the channel cannot take what was ordered: no version to roll back to
                 self.table_manager.evidence.record_rule_violation(now)
             self.latencies.rotate(now)
-            asked = self.intake.pace.requested_interval
+            previous_interval = self.intake.pace.requested_interval
             if self.intake.round(self.controller, now, self.table_manager.evidence):
                 self.request_run("reports")
-            if asked != self.intake.pace.requested_interval:
+            if previous_interval != self.intake.pace.requested_interval:
                 self.log.info(
                     "reports asked for",
                     every_ms=self.intake.pace.requested_interval // 1000,
@@ -264,13 +264,13 @@
     def estimates(self):
         """The short form of `view`: estimates of the decision module, and how reports are read."""
         module = self.controller
-        lag, self.max_lag = self.max_lag, 0
+        max_lag, self.max_lag = self.max_lag, 0
         return {
             "epoch": self.epoch,
             "capacity": module.capacity,
             "note": self.last_note,
             "caps": dict(zip(self.op_type_names, module.caps, strict=True)),
-            "lag_ms": lag / 1000,
+            "lag_ms": max_lag / 1000,
             "estimates": {
                 "demand": dict(zip(self.op_type_names, getattr(module, "demand", ()), strict=False)),
                 "acked": getattr(module, "acked", 0.0),
--- a/foxstep/store/store.py
+++ b/foxstep/store/store.py
@@ -1,7 +1,7 @@
 """The store: one SQLite file, written by its own thread, so that no order waits for a disk.
 
-Each row has its own checksum beside SQLite's journal, so that a flipped bit is found when the row is read. A
-file that SQLite itself cannot read is moved aside, and the last backup is used instead.
+Each row has its own checksum, in addition to SQLite's journal, so that a flipped bit is found when the row is
+read. A file that SQLite itself cannot read is moved aside, and the last backup is used instead.
 """
 
 import os
@@ -32,12 +32,12 @@
 
 
 def first_epoch(wall):
-    """The epoch to start above if nothing was kept: the wall clock in seconds, times the controllers."""
+    """The epoch to start above if nothing was kept: the wall clock in seconds times MAX_CONTROLLERS."""
     return wall() // 1_000_000 * MAX_CONTROLLERS
 
 
 class Store:
-    """What is kept is read at once, into `entries`, `rollbacks`, `holders`, `lines` and `facts`.
+    """State in a directory, read at the start into `entries`, `rollbacks`, `holders`, `lines` and `facts`.
 
     `keep`: entries of history. `max_pages`: maximum size of the file in SQLite pages; 0 for no limit.
     `damage` describes what was found damaged, one text for each row or file.
@@ -199,7 +199,7 @@
         self.put("facts", body)
 
     def flush(self, timeout_s=5.0):
-        """Waits until earlier writes are done; returns whether they are, and no write has failed since."""
+        """Waits until earlier writes are done; returns whether they are, and the store is not failing."""
         done = threading.Event()
         try:
             self.writes.put(("flush", done), timeout=timeout_s)
--- a/foxstep/tables/evidence.py
+++ b/foxstep/tables/evidence.py
@@ -52,7 +52,7 @@
         return self.intervals[-1] if self.intervals else None
 
     def record_tries(self, now, tries, aborted, latency):
-        """Adds one report line. `latency`: total latency of the acked tries, microseconds."""
+        """Adds the results in one report. `latency`: total latency of the acked tries, microseconds."""
         interval = self.current(now)
         if interval:
             interval.tries += tries
--- a/foxstep/tables/ledger.py
+++ b/foxstep/tables/ledger.py
@@ -90,7 +90,10 @@
 
 
 class Ledger:
-    """`keep`: versions in the history, beside retained ones. `me`: number of this controller."""
+    """The history of versions, and what each proxy is known to hold.
+
+    `keep`: versions in the history, in addition to retained ones. `me`: number of this controller.
+    """
 
     def __init__(self, epoch, keep=1000, me=0):
         self.epoch, self.keep, self.me, self.count = epoch, keep, me, 0
--- a/foxstep/tables/manager.py
+++ b/foxstep/tables/manager.py
@@ -27,7 +27,10 @@
 
 
 class TableManager:
-    """`site`: the plain settings. `keep`: versions in the history."""
+    """Applies pins, rollbacks and advice to the orders of the decision module, and keeps the history.
+
+    `site`: the plain settings. `keep`: versions in the history.
+    """
 
     def __init__(self, site, epoch, keep=1000):
         self.site = site
@@ -35,9 +38,10 @@
         self.lag = self.transit + 2 * site["cycle"]
         self.ledger, self.rollbacks = Ledger(epoch, keep, site["me"]), Rollbacks()
         self.evidence, self.advice = Evidence(self.lag), Advisor(site)
-        self.standing = {}  # `standing` of the decision module as of the last batch
+        self.standing = {}  # `server_weights()` of the decision module as of the last batch
         self.resend = {}  # advised balancers that are to be sent all their lines; an ordered set
         self.allowed, self.recompute = {}, {}  # as of the last batch; proxies to recompute, an ordered set
+        # `forgotten`: proxies that the next version leaves out unless they are back; an ordered set
         self.max_holders, self.forgotten = max(MIN_HOLDERS, HOLDERS_PER_PROXY * site["proxies"]), {}
         self.on_entry = self.on_rollback = lambda _: None  # callbacks of the store
 
@@ -93,8 +97,9 @@
         """The messages to send for a batch of orders.
 
         These are the module's own, restricted for pinned proxies, and those that pins and advice add.
-        `zones`: proxy -> zone of the joined ones. `standing`: as returned by the decision module. `waiting`:
-        lines that wait in the channel, these messages included.
+        `zones`: proxy -> zone of the joined ones. `allowed`: server -> fraction of its usual weight that it
+        may have now. `standing`: `server_weights()` of the decision module. `waiting`: lines that wait in the
+        channel, these messages included.
         """
         zones = {
             p: z
@@ -146,10 +151,10 @@
 
     def advised_lines(self, proxy, zone, rolled_back_to):
         """The lines that an advised balancer is to hold: those of the advice, unless it is pinned."""
-        roll = self.advice.balancers[proxy]
-        if not roll.lines:
+        balancer = self.advice.balancers[proxy]
+        if not balancer.lines:
             return None
-        ordinary = {name: weight for name, weight in roll.lines.items() if weight}
+        ordinary = {name: weight for name, weight in balancer.lines.items() if weight}
         rollback = self.rollbacks.rollback_of(proxy, zone)
         pinned = (
             rollback
@@ -159,9 +164,11 @@
         if not pinned:
             return ordinary
         rolled_back_to[proxy] = rollback.version
-        standing = {name: member_values(self.standing, split_line_name(name)[1]) for name in roll.lines}
-        pinned_lines = {name: weight for name, weight in pinned.lines.items() if name in roll.lines}
-        return compose(pinned_lines, ordinary, {n: s[0] / s[1] for n, s in standing.items() if s})
+        values_by_line = {
+            name: member_values(self.standing, split_line_name(name)[1]) for name in balancer.lines
+        }
+        pinned_lines = {name: weight for name, weight in pinned.lines.items() if name in balancer.lines}
+        return compose(pinned_lines, ordinary, {n: v[0] / v[1] for n, v in values_by_line.items() if v})
 
     def pinned_table(self, proxy, version):
         """A proxy's table in a version; a proxy that the version does not know gets that of another one."""
