--- a/foxstep/live/desired_state.py
+++ b/foxstep/live/desired_state.py
@@ -171,6 +171,9 @@
         """Indexes of the op types in a bit mask; 0 stands for all of them."""
         return [k for k in range(self.op_type_count) if not mask or mask >> k & 1]
 
+    # Orders of the decision module, by their names in `foxstep/interface.py`: each changes the tables as
+    # ordered and adds what proxies are to be sent to the current batch.
+
     def weigh(self, now, table, server, weight):
         lines = self.lines.setdefault(table, {})
         if weight:
--- a/foxstep/live/host.py
+++ b/foxstep/live/host.py
@@ -144,6 +144,7 @@
         self.request_run(f"joined {ident}")
 
     def register(self, ident, zone, rate, stream, held_version):
+        """Adds a client's stream and ends an older one with the same id."""
         older = self.joined_proxies.pop(ident, None)
         if older:
             self.log.info("joined twice", proxy=ident)
--- a/foxstep/tables/manager.py
+++ b/foxstep/tables/manager.py
@@ -184,6 +184,10 @@
         return chosen and entry.fleet[chosen]
 
     def outgoing(self, now, by_proxy, targets, before, desired):
+        """The messages that bring proxies from the tables `before` to their target lines.
+
+        `by_proxy`: proxy -> the module's message of this batch; others are passed on unchanged.
+        """
         messages = []
         for proxy, lines in targets.items():
             message, known = by_proxy.get(proxy), before[proxy]
@@ -319,6 +323,7 @@
     # -- inspection, as plain values
 
     def history(self, max_versions=20):
+        """The newest versions, oldest first."""
         verdicts = {interval.last: verdict for interval, verdict in self.evidence.verdicts()}
         return [
             {
@@ -334,6 +339,7 @@
         ]
 
     def holders(self, zones):
+        """proxy -> what it holds and what it is meant to hold. `zones`: proxy -> zone of the joined ones."""
         holders = {}
         for proxy, holder in self.ledger.holders.items():
             table = self.ledger.table(proxy)
@@ -353,6 +359,7 @@
         return holders
 
     def progress(self, zones):
+        """The last 20 rollbacks and how far each has come, oldest first."""
         rollbacks = []
         for r in self.rollbacks.all[-20:]:
             reached = [p for p in r.reached if p in zones]
