--- a/foxstep/live/desired_state.py
+++ b/foxstep/live/desired_state.py
@@ -125,7 +125,7 @@
         self.holdings = {}  # proxy -> Holding, as written
         self.bindings = {}  # proxy -> table for each op type index, as ordered
         self.batch = {}  # proxy -> Message of the current batch
-        self.withdrawn_by_proxy = {}  # proxy -> servers that it was told are withdrawn
+        self.withdrawn_by_proxy = {}  # proxy -> servers withdrawn by the orders for it
         self.unaddressed = {}  # proxies without any order since they joined; an ordered set
         self.bound_proxies = {}  # table -> proxies bound to it, as an ordered set
 
@@ -171,6 +171,9 @@
         """Indexes of the op types in a bit mask; 0 stands for all of them."""
         return [k for k in range(self.op_type_count) if not mask or mask >> k & 1]
 
+    # Orders of the decision module, by their names in `foxstep/interface.py`: each changes the tables as
+    # ordered and adds what proxies are to be sent to the current batch.
+
     def weigh(self, now, table, server, weight):
         lines = self.lines.setdefault(table, {})
         if weight:
