--- a/foxstep/peers/coordinator.py
+++ b/foxstep/peers/coordinator.py
@@ -13,8 +13,11 @@
 
 
 class PeerCoordinator:
-    """`peers` maps the numbers of all other controllers to (address for messages, address for proxies,
-    zone). `drop_ratio` is the fraction of messages that a drill discards."""
+    """Connects one controller (number `me`) with its peers.
+
+    `peers` maps the numbers of all other controllers to (address for messages, address for proxies, zone).
+    `drop_ratio` is the fraction of messages that a drill discards.
+    """
 
     def __init__(self, host, fact_exchange, site_name, me, peers, socket, drop_ratio=0.0):
         self.host = host
@@ -40,6 +43,7 @@
         )
 
     async def redirect_proxies(self):
+        """Redirects proxies to their home controllers, one at a time, until cancelled."""
         while True:
             now, members = self.host.clock(), self.membership.members
             others = {i: (m.up_since, m.heard_at or 0) for i, m in members.items() if m.state != GONE}
@@ -54,6 +58,7 @@
             await anyio.sleep(wait / SECOND_US)
 
     async def exchange_with_peers(self):
+        """Requests facts that are lacking here, and sends peers what they lack."""
         await self.transport.send_digest()
         await self.transport.send_answers()
 
@@ -63,6 +68,7 @@
         await self.transport.send_due()
 
     def view(self):
+        """Returns plain values for an operator."""
         now = self.host.clock()
         return {
             "me": self.membership.me,
--- a/foxstep/peers/fact_exchange.py
+++ b/foxstep/peers/fact_exchange.py
@@ -24,7 +24,9 @@
 
 
 class FactExchange:
-    """`bytes_per_s` limits what is sent to peers. `period` is the time between two exchanges in
+    """Exchanges the facts of one controller, whose number is `me`, with its peers.
+
+    `bytes_per_s` limits what is sent to peers. `period` is the time between two exchanges in
     microseconds."""
 
     def __init__(self, host, me, bytes_per_s=16_000, period=250_000):
@@ -45,7 +47,7 @@
     def restore(self, saved, wall):
         """Loads what the store holds: (wall clock time of the save, a map for each lane).
 
-        If the wall clock has been set back, the age is unknown and the facts are trusted by half.
+        If the wall clock has been set back, the age is unknown and the trust in the facts is one half.
         """
         if not saved:
             return
@@ -76,10 +78,11 @@
 
     def proxy_left(self, proxy, rate):
         rate = max(rate, DEFAULT_RATE)
-        rates = sum(self.rates().values()) + rate
-        self.peer_facts.proxy_left(self.host.clock(), proxy, self.host.controller.capacity, rate, rates)
+        total_rate = sum(self.rates().values()) + rate
+        self.peer_facts.proxy_left(self.host.clock(), proxy, self.host.controller.capacity, rate, total_rate)
 
     def rates(self):
+        """Returns proxy -> ops per second of the proxies served here."""
         return {
             i: max(j.rate, DEFAULT_RATE) for i, j in self.host.joined_proxies.items() if j.rate is not None
         }
--- a/foxstep/peers/facts.py
+++ b/foxstep/peers/facts.py
@@ -1,8 +1,9 @@
 """The facts that controllers exchange about what they have learned, and how much they trust them. No I/O.
 
 Lanes: facts of servers (usual weight, whether withdrawn, state and age as the controller's server list gives
-them) and the capacity C; the zone of each proxy that a controller serves; and, as it changes most often,
-which table version each of these proxies holds.
+them) and the capacity C, the ops per second that the servers can do for the controller's proxies; the zone of
+each proxy that the controller serves; and, as it changes most often, which table version each of these
+proxies holds.
 
 A controller's own knowledge takes precedence. A peer's fact counts only where this controller knows nothing
 itself, and the less the older it is. A peer's report that a server drains or has restarted counts until this
@@ -19,7 +20,7 @@
 MIN_CHANGE_RATIO = 0.1  # smaller changes of a weight or of C are not published
 # The following ages are in report cycles.
 HALF_LIFE_CYCLES = 60  # the trust in a reported weight halves over this age
-MAX_AGE_CYCLES = 600  # and is zero above this one
+MAX_AGE_CYCLES = 600  # above this age a reported weight is not trusted at all
 CAPACITY_MAX_AGE_CYCLES = 60  # the same for C, which follows the load
 MAX_HIDDEN_FRACTION = 0.5  # of the open servers, hidden because of peers' reports of drains
 MAX_DEPARTED_PROXIES = 4096
@@ -64,20 +65,21 @@
         self.replica = replica
         self.keys = [{} for _ in range(LANE_COUNT)]  # published keys by lane
 
-    def publish(self, now, lines, standing, weighed, capacity, rates, zones, holders):
+    def publish(self, now, lines, server_weights, measured_weights, capacity, total_rate, zones, holders):
         """Writes what has changed, and confirms the rest.
 
-        `lines` maps servers to their lines in the own list (interface.ListedServer). `standing` and `weighed`
-        are as the decision module gives them, `capacity` is C or None, `rates` the usual ops per second of
-        all its proxies together. `zones` and `holders` map joined proxies to their zone and table version.
+        `lines` maps servers to their lines in the own list (interface.ListedServer). `server_weights` and
+        `measured_weights` are the results of the decision module's methods of these names. `capacity` is C or
+        None, `total_rate` the usual ops per second of all its proxies together. `zones` and `holders` map
+        joined proxies to their zone and table version.
         """
         facts = {}
         for server, line in lines.items():
-            weight, _, warmth = standing.get(server, (0.0, None, 1.0))
-            known, usual = self.published_value(SERVER_LANE, server), weighed.get(server)
+            weight, _, warm_fraction = server_weights.get(server, (0.0, None, 1.0))
+            known, usual = self.published_value(SERVER_LANE, server), measured_weights.get(server)
             if known and known[0] is not None and (usual is None or not has_changed(usual, known[0])):
                 usual = known[0]
-            withdrawn = line[4] == "open" and warmth == 1.0 and not weight
+            withdrawn = line[4] == "open" and warm_fraction == 1.0 and not weight
             age = (now - line[6]) // 1000 if line[6] else None
             if known and age is not None and known[3] is not None:
                 # A fact holds the age at the time of its publication. An unchanged start is not published
@@ -88,8 +90,10 @@
             facts[server] = [None if usual is None else round(usual, 3), withdrawn, line[4], age]
         if capacity:
             known = self.published_value(SERVER_LANE, CAPACITY_KEY)
-            unchanged = known and not has_changed(capacity, known[0]) and not has_changed(rates, known[1])
-            facts[CAPACITY_KEY] = known if unchanged else [round(capacity, 3), round(rates, 3)]
+            unchanged = (
+                known and not has_changed(capacity, known[0]) and not has_changed(total_rate, known[1])
+            )
+            facts[CAPACITY_KEY] = known if unchanged else [round(capacity, 3), round(total_rate, 3)]
         self.put_lane(now, SERVER_LANE, facts)
         self.put_lane(now, PROXY_LANE, zones)
         self.put_lane(now, VERSION_LANE, holders)
@@ -158,13 +162,13 @@
                 result.append((server, 1 + (weight - 1) * trust, bool(withdrawn and state == "open")))
         return result
 
-    def overriding_lines(self, now, lines, told_at):
+    def overriding_lines(self, now, lines, state_since):
         """Returns server -> line for the servers whose line in the own list is overridden by peers' facts.
 
-        `lines` maps servers to their lines in the own list (interface.ListedServer), `told_at` to when the
-        list last reported a change of them. This covers a successor whose list is behind: a server that began
-        to drain, or restarted cold, and was known as such only to the controller that died. Cost: a wrong
-        report hides a server for as long as a list may be old.
+        `lines` maps servers to their lines in the own list (interface.ListedServer), `state_since` to when
+        the list last reported a change of them. This covers a successor whose list is outdated: a server that
+        began to drain, or restarted cold, and was known as such only to the controller that died. Cost: a
+        wrong report hides a server for as long as a list may be old.
         """
         overrides, open_count, hidden = {}, 0, 0
         facts = self.trusted_facts(now)
@@ -174,7 +178,7 @@
             open_count += 1
             for _, value, at, _ in facts.get(server, ()):
                 _, _, state, age = value
-                if at <= told_at.get(server, 0) or now - at > self.max_list_age:
+                if at <= state_since.get(server, 0) or now - at > self.max_list_age:
                     continue
                 started_at = at - age * 1000 if age is not None else 0
                 if state != "open":
@@ -188,10 +192,10 @@
             overrides = {s: line for s, line in overrides.items() if line[4] == "open"}
         return overrides
 
-    def changed_lines(self, now, lines, told_at):
+    def changed_lines(self, now, lines, state_since):
         """Returns the lines to report to the decision module: new overrides, and the own list's lines of
         servers whose override has ended."""
-        overrides, before = self.overriding_lines(now, lines, told_at), self.overrides
+        overrides, before = self.overriding_lines(now, lines, state_since), self.overrides
         self.overrides = overrides
         changed = [
             line for server, line in overrides.items() if not self.is_same_line(before.get(server), line)
@@ -204,7 +208,7 @@
     # -- capacity (C)
 
     def proxy_joined(self, now, proxy, rate):
-        """Notes the share of C that a joining proxy brings.
+        """Records the share of C that a joining proxy brings.
 
         If another controller serves the proxy according to its facts, or reports that the proxy has just left
         it, the share is that controller's C times the proxy's fraction of its ops. It is kept for this proxy
@@ -233,8 +237,8 @@
                 and capacity_fact.value[1] > 0
                 and self.trust(age, CAPACITY_MAX_AGE_CYCLES)
             ):
-                capacity, rates = capacity_fact.value
-                self.pending_capacity[proxy] = capacity * min(rate / rates, 1.0)
+                capacity, total_rate = capacity_fact.value
+                self.pending_capacity[proxy] = capacity * min(rate / total_rate, 1.0)
 
     def proxies_of(self, controllers):
         """Returns proxy -> zone of all proxies that these controllers report as theirs."""
@@ -244,12 +248,12 @@
                 found.update((proxy, fact.value) for proxy, fact in held.live().items())
         return found
 
-    def proxy_left(self, now, proxy, capacity, rate, rates):
-        """Notes that a proxy's stream broke, with `rate` of the `rates` ops per second of all proxies until
-        then. It may return, or another controller may serve it."""
+    def proxy_left(self, now, proxy, capacity, rate, total_rate):
+        """Records that a proxy's stream broke, with `rate` of the `total_rate` ops per second of all proxies
+        until then. It may return, or another controller may serve it."""
         self.pending_capacity.pop(proxy, None)
         if capacity:
-            self.departed[proxy] = (now, capacity * rate / (rates + self.departed_rates()), rate)
+            self.departed[proxy] = (now, capacity * rate / (total_rate + self.departed_rates()), rate)
             while len(self.departed) > MAX_DEPARTED_PROXIES:
                 del self.departed[next(iter(self.departed))]
 
--- a/foxstep/peers/membership.py
+++ b/foxstep/peers/membership.py
@@ -20,9 +20,9 @@
 RANK = {ALIVE: 0, SUSPECTED: 1, GONE: 2}
 INDIRECT_PROBES = 3  # members that are asked to ping one that does not answer
 # The two suspicion timeouts are in periods, each times log2(controllers + 1).
-MAX_SUSPICION_PERIODS = 5  # while nobody else confirms the suspicion
+MAX_SUSPICION_PERIODS = 5  # while no other member confirms the suspicion
 MIN_SUSPICION_PERIODS = 2  # when all who could confirm it have done so
-MAX_LOCAL_HEALTH = 4  # worst local health; the probe interval is stretched by a factor of up to 1 + this
+MAX_LOCAL_HEALTH = 4  # worst local health; the probe interval is multiplied by up to 1 + this
 RETRANSMIT_FACTOR = 3  # times ceil(log2(controllers + 1)): transmissions of one update
 MAX_UPDATES_PER_MESSAGE = 12
 MAX_QUEUED_MESSAGES = 256  # beyond it the oldest message is dropped, like any other lost datagram
@@ -157,8 +157,8 @@
         return verb, to, number, target, self.updates_for(to) if updates is None else updates
 
     def tick(self, now):
-        # After a pause of this process (stopped, or starved of CPU) missing acks are its own fault, so nobody
-        # is suspected for them. Cost: a peer that died meanwhile is detected one period later.
+        # After a pause of this process (stopped, or starved of CPU) missing acks are its own fault, so no
+        # member is suspected for them. Cost: a peer that died meanwhile is detected one period later.
         if now - self.last_tick_at > self.period:
             self.local_health = MAX_LOCAL_HEALTH
             pause = now - self.last_tick_at
--- a/foxstep/peers/replica.py
+++ b/foxstep/peers/replica.py
@@ -8,8 +8,8 @@
 that much traffic in one lane delays none in another.
 
 Counts belong to an epoch. A controller that restarts begins a later epoch, and its older facts are dropped
-when the first of the new epoch arrive. A checksum over all facts of a lane detects copies that differ
-although their counts agree.
+when the first of the new epoch arrive. A checksum over the live facts of a lane detects copies
+that differ although their counts agree.
 """
 
 from hashlib import blake2b
@@ -85,7 +85,7 @@
 
 
 class Replica:
-    """One controller's own facts and its copies of all others'.
+    """One controller's own facts and its copies of all other controllers' facts.
 
     `lane_count` is the number of lanes of each controller, `bytes_per_s` the budget for answers. Keys are
     text, values anything that msgpack can encode. Messages carry ages instead of times, because the clocks of
@@ -196,9 +196,10 @@
         """Returns what a receiver with that digest lacks, and its size in bytes.
 
         Changes are [(controller, lane, epoch, after, upto, floor, age, facts)]; with a floor they replace the
-        whole lane. Own facts come first, then the copies that are most behind.
+        whole lane. Lanes come in the order of their numbers. In each lane, own facts come first, then those
+        of which the receiver lacks most.
         """
-        behind = []
+        lacking = []
         for (origin, number), lane in self.lane_by_key.items():
             epoch, top, floor, checksum = known_there.get((origin, number), (-1, 0, 0, 0))
             if (
@@ -217,9 +218,11 @@
             )
             after = 0 if replace_all else top
             if replace_all or lane.top > after:
-                behind.append((number, origin != self.me, after - lane.top, origin, after, replace_all, lane))
+                lacking.append(
+                    (number, origin != self.me, after - lane.top, origin, after, replace_all, lane)
+                )
         changes, size = [], 0
-        for number, _, _, origin, after, replace_all, lane in sorted(behind, key=lambda entry: entry[:4]):
+        for number, _, _, origin, after, replace_all, lane in sorted(lacking, key=lambda entry: entry[:4]):
             facts, upto = [], after
             for key, fact in self.facts_above(lane, after):
                 entry = (key, fact.value, fact.count, max(0, now - fact.at))
--- a/foxstep/peers/transport.py
+++ b/foxstep/peers/transport.py
@@ -27,7 +27,10 @@
 
 
 class MembershipMessage(msgspec.Struct, array_like=True, tag="note"):
-    """A ping, an ack or a request to ping; `updates` are (controller, state, incarnation, reported by)."""
+    """A ping, an ack, or a request to ping `target`.
+
+    `updates` are (controller, state, incarnation, reported by).
+    """
 
     site: str
     sender: int
