--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -210,7 +210,10 @@
         if usage:
             factor = self.bounding_factor(reporter, 1, total / max(window, self.cycle / 4))
             if factor < 1:
-                usage = {op_type: (ops * factor, out * factor) for op_type, (ops, out) in usage.items()}
+                usage = {
+                    op_type: (ops * factor, unanswered * factor)
+                    for op_type, (ops, unanswered) in usage.items()
+                }
             self.sums.add_usage(now, proxy, usage, window, lost)
 
     def bounding_factor(self, reporter, which, rate):
--- a/foxstep/node/messages.py
+++ b/foxstep/node/messages.py
@@ -38,7 +38,7 @@
 
 
 class Joined(IncomingMessage, tag="joined"):
-    """Handshake of a proxy; `w` is its expected rate, `cold` tells whether it has just started."""
+    """Handshake of a proxy; `w` is the ops per second that it expects, `cold` whether it has just started."""
 
     node: ProxyNumber
     locality: Name
--- a/foxstep/node/streams.py
+++ b/foxstep/node/streams.py
@@ -32,13 +32,13 @@
 ACCEPT_PAUSE_S = 0.05  # pause while no further connection can be accepted
 OUT_OF_RESOURCES_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 HIGH_WATER_BYTES = 65_536  # unsent bytes of a connection above which further updates are folded into one
-MAX_PENDING_MARKS = 64  # unanswered marks of a connection; older ones are dropped
+MAX_PENDING_MARKS = 64  # marks of a connection that await their answer; beyond it the oldest is dropped
 READ_BUFFER_BYTES = 65_536
 PARTIAL_MEMORY_FRACTION = 1 / 16  # of the memory limit, for the incomplete messages of all connections
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One connection. After the handshake of a proxy it is the proxy's `Outlet`, which the host writes to."""
+    """One connection. After a proxy's handshake the host writes to it, as a `live.host.ProxyStream`."""
 
     accepts_redirect = False
 
@@ -53,7 +53,9 @@
         self.handshake_timer = None
         self.pending = None  # (holding, message) that waits until the peer reads
         self.paused = self.closed = False
-        self.marks = {}  # mark -> (ordered at, written at), oldest first
+        # Mark -> (ordered at, written at), oldest first. A mark is a number that the proxy sends back once it
+        # has applied the update that carries it.
+        self.marks = {}
 
     # -- bytes
 
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -59,7 +59,10 @@
 
 
 class Outlet:
-    """One balancer's changes on their way from the host, which delivers them, to its connection."""
+    """The `live.host.ProxyStream` of one balancer.
+
+    Collects the changes that the host delivers until the balancer's connection writes them.
+    """
 
     def __init__(self, connection, ident, name):
         self.connection = connection
@@ -280,7 +283,7 @@
         if code := self.attach_balancer(message.balancer):
             return code
         flags, ident = message.flags, balancer_id(message.balancer)
-        answer = self.registry.set_balancer(
+        result = self.registry.set_balancer(
             ident,
             bool(flags & Flag.PUSH),
             bool(flags & Flag.TRUST),
@@ -288,7 +291,7 @@
             message.health,
         )
         self.outlets[ident].connection.wake_push.set()
-        return RESPONSE_CODES[answer]
+        return RESPONSE_CODES[result]
 
     # -- sent weights
 
@@ -302,9 +305,9 @@
             ident = balancer_id(group.balancer)
             if ident not in self.outlets:
                 return Code.UNKNOWN_BALANCER, (), ()
-            answer, found = self.registry.find_groups(ident, text_id(group.name))
-            if answer is not Result.DONE:
-                return RESPONSE_CODES[answer], (), ()
+            result, found = self.registry.find_groups(ident, text_id(group.name))
+            if result is not Result.DONE:
+                return RESPONSE_CODES[result], (), ()
             outlet = outlets[ident] = self.outlets[ident]
             groups += [
                 (
@@ -334,7 +337,10 @@
 
 
 class SaspFront:
-    """`advice` is the plain map of the site's settings for it (balancers, groups, members, message, keep)."""
+    """The SASP front of one host.
+
+    `advice` is the plain map of the site's settings for it (balancers, groups, members, message, keep).
+    """
 
     def __init__(self, host, advice):
         self.host = host
--- a/foxstep/sasp/wire.py
+++ b/foxstep/sasp/wire.py
@@ -33,6 +33,8 @@
 
 
 class ComponentType(IntEnum):
+    """Types of the components that messages contain."""
+
     MEMBER_DATA, GROUP_DATA, WEIGHT_ENTRY, MEMBER_STATE = 0x3010, 0x3011, 0x3012, 0x3013
     GROUP_OF_MEMBERS, GROUP_OF_WEIGHTS, GROUP_OF_MEMBER_STATES = 0x4010, 0x4011, 0x4012
 
@@ -57,6 +59,8 @@
 
 
 class Member(NamedTuple):
+    """A member of a group: a server, or a whole system with all its servers."""
+
     protocol: int  # IP protocol number: 6 TCP, 17 UDP; 0 the whole system
     port: int
     address: bytes  # 16 bytes; an IPv4 address is IPv4-mapped or IPv4-compatible
@@ -76,11 +80,15 @@
 
 
 class Group(NamedTuple):
+    """A group, named within the load balancer that it belongs to."""
+
     balancer: bytes
     name: bytes
 
 
 class Weight(NamedTuple):
+    """A weight entry: the weight of a member, with its state and flags."""
+
     member: Member
     state: int  # opaque, as set by a Set Member State request
     flags: int
@@ -88,6 +96,8 @@
 
 
 class MemberState(NamedTuple):
+    """The state that a Set Member State request gives a member."""
+
     member: Member
     state: int
     flags: int
@@ -119,6 +129,8 @@
 
 
 class UnsupportedVersion(MalformedMessage):
+    """A message of another protocol version; `message_id` is its ID, for the reply."""
+
     def __init__(self, version, message_id):
         super().__init__(f"expected version {VERSION}, got {version}", 4)
         self.message_id = message_id
--- a/foxstep/xds/cancellation.py
+++ b/foxstep/xds/cancellation.py
@@ -1,4 +1,4 @@
-"""Timeouts on gRPC calls, and detection of cancellations that nobody requested.
+"""Timeouts on gRPC calls, and detection of cancellations that were not requested.
 
 grpcio awaits internal tasks of its own. When such a wait is cut short, or a call ends while it is being read,
 a bare CancelledError is raised. A task group would take it for its own cancellation and end all its tasks.
@@ -13,5 +13,5 @@
 
 
 def is_stray_cancellation():
-    """Whether nobody requested the CancelledError that is being handled; the task then continues."""
+    """Whether the CancelledError that is being handled was not requested; the task then continues."""
     return asyncio.current_task().cancelling() == 0
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -45,7 +45,7 @@
 
 
 class DiscoveryStream:
-    """One proxy's discovery stream, which is the host's outlet to the proxy."""
+    """One proxy's discovery stream, which the host writes to as a `live.host.ProxyStream`."""
 
     def __init__(self, front, node, incremental):
         metadata = node.metadata.fields
@@ -71,7 +71,7 @@
         self.wakeup = anyio.Event()
         self.reported_rates = {}  # index of an op type -> ops a second, as last reported
 
-    # -- as an outlet of the host
+    # -- as a stream of the host
 
     def deliver(self, holding, message):
         type_urls = []
@@ -433,7 +433,7 @@
         limiter = StreamRateLimiter(self.host.clock())
         while request is not None:
             stream = self.streams.get(ident)
-            # Only reports of joined proxies are read: the others' are for another controller.
+            # Only reports of joined proxies are read: other proxies report to another controller.
             if stream and request.cluster_stats:
                 self.host.reader.offer(
                     self.host.clock(), ident, zone, TRIES, (stream, request), load_reports.line_count(request)
--- a/foxstep/xds/session.py
+++ b/foxstep/xds/session.py
@@ -45,7 +45,7 @@
         self.nonce = ""
         self.unanswered = deque(maxlen=MAX_UNANSWERED_RESPONSES)  # (nonce, marks, version), oldest first
         self.is_due = False
-        self.marks = []
+        self.marks = []  # (number, ordered at) of the marks that an ACK of the next response answers
         self.stamp = None  # (time ordered, lines) for the nonce of the next response
 
     def schedule(self, marks, stamp):
