--- a/foxstep/peers/facts.py
+++ b/foxstep/peers/facts.py
@@ -104,6 +104,7 @@
         return fact.value if fact else None
 
     def put_lane(self, now, lane, facts):
+        """Makes a lane hold exactly these facts."""
         for key in self.keys[lane]:
             if key not in facts:
                 self.replica.put(now, lane, key, None)
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -361,6 +361,7 @@
         self.connections = 0
 
     def take_over(self, ident, outlet):
+        """Makes this a balancer's current outlet; an older session of the balancer is ended."""
         older, self.outlets[ident] = self.outlets.get(ident), outlet
         self.host.enrolled(ident, self.host.site["zone"], outlet)
         if older:
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -322,6 +322,7 @@
         return line[1] if line else ""
 
     def levels_changed(self, ident):
+        """Makes a proxy's quota stream write its changed levels."""
         quotas = self.quota_streams.get(ident)
         if quotas:
             quotas.wakeup.set()
--- a/foxstep/xds/listing.py
+++ b/foxstep/xds/listing.py
@@ -90,6 +90,7 @@
         host.watch, host.fetch = self.watch, self.fetch
 
     def watch(self, on):
+        """Starts the subscription if `on`; otherwise nothing changes, and a subscription continues."""
         if on:
             self.requested.set()
 
--- a/foxstep/xds/probes.py
+++ b/foxstep/xds/probes.py
@@ -26,8 +26,8 @@
 def load_of(report):
     """Returns an ORCA report under the names of the decision module, or None if it has no known field.
 
-    Unset fields of this message read as zero, so a `cpu_utilization` of zero is used only if the report has
-    another known metric.
+    A field that the report leaves out is unknown, not zero. Unset fields of this message read as zero, so a
+    `cpu_utilization` of zero is used only if the report has another known metric.
     """
     load = {name: value for name, value in report.named_metrics.items() if name in ("waiting", "holding")}
     if report.cpu_utilization or load:
@@ -46,6 +46,7 @@
         host.probe = self.probe
 
     def probe(self, server):
+        """Queues a probe; if the queue is full, its outcome is "aborted" at once."""
         try:
             self.send.send_nowait(server)
         except anyio.WouldBlock:
