--- a/foxstep/live/host.py
+++ b/foxstep/live/host.py
@@ -198,7 +198,7 @@
     def told(self, peer, payload):
         """A note from another controller."""
         self.controller.told(self.clock(), peer, payload)
-        self.request_run(f"note from {peer}")
+        self.request_run(f"told by {peer}")
 
     # -- orders ----------------------------------------------------------------------------------------------
 
--- a/foxstep/live/serving.py
+++ b/foxstep/live/serving.py
@@ -72,7 +72,7 @@
         self.line_overrides = line_overrides
         if lines:
             self.controller.listed(self.clock(), "changes", lines)
-            self.request_run(f"{len(lines)} list lines from peers")
+            self.request_run(f"heard of {len(lines)}")
 
     def learnt(self, facts):
         """What other controllers, or the previous process, knew of servers: (server, weight, withdrawn)."""
@@ -109,7 +109,7 @@
         """
         if self.joined_through(ident, stream):
             self.table_manager.enroll(ident, groups)
-            self.request_run(f"groups of {ident}")
+            self.request_run(f"roll {ident}")
 
     def held_servers(self, ident):
         """Servers of the tables that a proxy was written, or None if it has none of ours."""
--- a/foxstep/operate/service.py
+++ b/foxstep/operate/service.py
@@ -69,7 +69,7 @@
                 f"no controller {to}: expected one of {', '.join(map(str, self.peer_coordinator.peers))}"
             )
         if proxy not in self.host.redirectable_proxies():
-            raise OrderError(f"{proxy!r} is not joined here, or does not accept a redirect")
+            raise OrderError(f"{proxy!r} is not joined here, or cannot be sent elsewhere")
         self.host.redirect(proxy, self.peer_coordinator.peers[to][1])
 
     def proxy_zones(self):
--- a/foxstep/tables/manager.py
+++ b/foxstep/tables/manager.py
@@ -272,10 +272,10 @@
             raise OrderError(
                 f"no such server may be picked now: {', '.join(unknown[:3])}"
                 if unknown
-                else "a table without lines"
+                else "a table of no line"
             )
         if any(not 0 < weight < 1e6 for weight in lines.values()):
-            raise OrderError("expected weights above 0 and below 1000000")
+            raise OrderError("expected weights above 0")
         kind, _, name = scope.partition(" ")
         covered = [p for p, z in zones.items() if kind == "fleet" or name == (z if kind == "zone" else p)]
         fleet = self.ledger.fleet
--- a/foxstep/xds/delta.py
+++ b/foxstep/xds/delta.py
@@ -59,7 +59,7 @@
         if len(subscription.names) + len(request.resource_names_subscribe) > MAX_RESOURCE_NAMES or (
             len(request.initial_resource_versions) > 20 * MAX_RESOURCE_NAMES
         ):
-            raise TooManyNames(f"over {MAX_RESOURCE_NAMES} resource names requested")
+            raise TooManyNames(f"over {MAX_RESOURCE_NAMES} resource names asked for")
         answer = self.handle_answer(subscription, request) if request.response_nonce else None
         if not subscription.nonce and request.initial_resource_versions:
             subscription.held = dict(request.initial_resource_versions)
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -116,7 +116,7 @@
         Only for clients with the feature `HOME_FEATURE`.
         """
         self.redirect_address = address
-        self.end("redirected to another controller")
+        self.end("its home is another controller")
 
     # -- as resources
 
@@ -336,7 +336,7 @@
         """Returns a new stream's first request; None if the stream ended. Aborts it after the timeout."""
         with suppress(TimeoutError):
             return await with_timeout(HANDSHAKE_TIMEOUT_S, anext(requests, None))
-        await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "no request received on this stream")
+        await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "nothing said on this stream")
 
     async def run_until_either_ends(self, reading, writing, context):
         """Reads and writes until either ends, then cancels the other. Returns why the stream ends."""
@@ -353,7 +353,7 @@
         except* StreamEnded as ended:
             reason = str(ended.exceptions[0])
         except* TimeoutError:
-            reason = f"client read nothing for {WRITE_TIMEOUT_S:.0f} s"
+            reason = f"took nothing for {WRITE_TIMEOUT_S:.0f} s"
         except* TooManyNames as too_many:
             reason = str(too_many.exceptions[0])
         except* (grpc.aio.UsageError, grpc.aio.InternalError, grpc.RpcError, asyncio.InvalidStateError):
@@ -376,7 +376,7 @@
         if not 0 < len(first.node.id) <= MAX_NODE_ID_LENGTH:
             await context.abort(
                 grpc.StatusCode.INVALID_ARGUMENT,
-                f"node.id needs 1 to {MAX_NODE_ID_LENGTH} characters, got {len(first.node.id)}",
+                f"node.id of 1 to {MAX_NODE_ID_LENGTH} bytes wanted, got {len(first.node.id)}",
             )
         ident, stream = first.node.id, DiscoveryStream(self, first.node, incremental)
         self.streams[ident] = stream
--- a/foxstep/xds/session.py
+++ b/foxstep/xds/session.py
@@ -107,7 +107,7 @@
             return None  # requests for a type that is not served get no response, as the specification says
         if len(request.resource_names) > MAX_RESOURCE_NAMES:
             raise TooManyNames(
-                f"{len(request.resource_names)} resource names requested, {MAX_RESOURCE_NAMES} at most"
+                f"{len(request.resource_names)} resource names asked for, {MAX_RESOURCE_NAMES} at most"
             )
         subscription = self.subscriptions.setdefault(type_url, Subscription())
         names = list(dict.fromkeys(request.resource_names))
