--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# `make demo` runs the main job, `make test` the tests; both set up what they need under .venv.
+# `make demo` plays a short drill, `make test` runs the linter and the tests, `make fuzz` fuzzes the SASP parser.
+# Each first installs the project with its dependencies into .venv.
 PYTHON ?= python3
 VENV = .venv/foxstep-ready
 
--- a/foxstep/commands/servers.py
+++ b/foxstep/commands/servers.py
@@ -35,7 +35,10 @@
 
 
 def run(address, cluster):
-    """Prints one server a line. Raises InputError if the service can't be reached or its list is invalid."""
+    """Prints one server per line.
+
+    Raises InputError if the service can't be reached or its list is invalid.
+    """
     try:
         servers = anyio.run(fetch, address, cluster)
     except grpc.RpcError as error:
--- a/foxstep/commands/tables.py
+++ b/foxstep/commands/tables.py
@@ -72,7 +72,7 @@
 
 
 def show_diff(address, old, new):
-    """Prints the weights that differ between two versions, one proxy a line."""
+    """Prints the weights that differ between two versions, one proxy per line."""
     for proxy, changes in call(address, "diff", old=old, new=new)["changes"].items():
         text = ", ".join(f"{server} {a:g} to {b:g}" for server, (a, b) in changes.items())
         click.echo(f"{proxy}: {text}")
--- a/foxstep/measure/baseline_intake.py
+++ b/foxstep/measure/baseline_intake.py
@@ -51,7 +51,7 @@
 
     def add_tries(self, server, zone, tries, aborted, latency, window, load=None):
         if not self.known_server(server) or not self.is_valid((tries, aborted), window) or aborted > tries:
-            return self.refuse("unsound")
+            return self.refuse("invalid")
         sums = self.sums.setdefault((server, zone), [0, 0, 0, 0.0, 0, None])
         sums[0] += tries
         sums[1] += aborted
--- a/foxstep/measure/fleet.py
+++ b/foxstep/measure/fleet.py
@@ -263,7 +263,7 @@
 
 
 async def measure_reports(figures, address, clients, names, seconds):
-    """Sends reports at a rate that doubles until the controller keeps up no longer.
+    """Sends reports at a rate that doubles until the controller no longer keeps up.
 
     That is when its event loop lags by more than MAX_LAG_MS or it reads less than 70% of the lines.
     """
--- a/foxstep/measure/intake.py
+++ b/foxstep/measure/intake.py
@@ -201,7 +201,7 @@
 
 
 def measure_structures():
-    """Prints the cost of alternative data structures beside that of the simple ones."""
+    """Prints the cost of alternative data structures compared with that of the simple ones."""
     random = Random(4)
     click.echo("\n| purpose | structure | us per operation | relative to the simple one |")
     click.echo("| --- | --- | --- | --- |")
--- a/foxstep/measure/proxy.py
+++ b/foxstep/measure/proxy.py
@@ -1,4 +1,4 @@
-"""`foxstep measure-proxy`: the proxy's overhead, beside a direct client and a plain TCP relay."""
+"""`foxstep measure-proxy`: the proxy's overhead, compared with a direct client and a plain TCP relay."""
 
 import asyncio
 import os
--- a/foxstep/measure/tables.py
+++ b/foxstep/measure/tables.py
@@ -1,4 +1,4 @@
-"""`foxstep measure-tables`: the cost of table versions in memory and store, beside plain copies."""
+"""`foxstep measure-tables`: the cost of table versions in memory and store, compared with plain copies."""
 
 import os
 import tempfile
@@ -28,7 +28,7 @@
 
 
 def ledger_bytes(proxies, versions, changed_fraction):
-    """Memory in bytes of a ledger with so many versions, which share their unchanged parts."""
+    """Memory in bytes of a ledger with `versions` versions, which share their unchanged parts."""
     tracemalloc.start()
     ledger = Ledger(1, keep=versions)
     ledger.commit(0, "", tables(proxies))
@@ -57,7 +57,7 @@
 
 
 def measure_store(proxies, versions, changed_fraction):
-    """Writes so many versions to a store and reads them back.
+    """Writes `versions` versions to a store and reads them back.
 
     Returns (microseconds that a write takes its caller, entries per second written to disk, file size in
     bytes, seconds to read back).
--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -105,7 +105,7 @@
         self.refusals = 0
         self.channels = {}
         self.avoid_until = {}  # controller -> time until which others are preferred
-        self.failed_dials = 0  # connections in a row on which no response came
+        self.failed_dials = 0  # consecutive connections on which no response came
         self.redirect_to = ""  # the controller that the last one redirected this proxy to
         self.report_interval = DEFAULT_REPORT_INTERVAL_S  # seconds, as the controller asked for
         self.interval_changed = anyio.Event()
@@ -304,7 +304,7 @@
         await call.write(lrs_pb2.LoadStatsRequest(node=self.node()))
         answer = await call.read()
         if answer is grpc.aio.EOF:
-            raise EOFError("the controller wants no load reports")
+            raise EOFError("the controller closed the load report stream")
         self.set_interval(answer)
         self.forwarder.reports.forget()
         async with anyio.create_task_group() as group:
@@ -312,7 +312,7 @@
             group.start_soon(self.send_load_reports, call)
 
     def set_interval(self, answer):
-        """Takes over the report interval from a response, and wakes those who wait for the old one."""
+        """Takes over the report interval from a response, and wakes the tasks that wait for the old one."""
         self.report_interval = min(
             max(answer.load_reporting_interval.ToNanoseconds() / 1e9, 0.05), MAX_REPORT_INTERVAL_S
         )
--- a/foxstep/proxy/forward.py
+++ b/foxstep/proxy/forward.py
@@ -32,7 +32,9 @@
     """Forwards each op to a server of the table.
 
     `op_types`: dicts with `name`, `method` and `op_timeout` (microseconds). `clock` returns seconds.
-    `note(kind, ...)` is called for each try that is sent.
+    `keepalive`: seconds after which an idle connection to a server is closed. `connect_timeout`: in seconds.
+    `connections`: maximum number of connections to one server. `note(kind, ...)` is called for each try
+    that is sent.
     """
 
     def __init__(
--- a/foxstep/proxy/pick.py
+++ b/foxstep/proxy/pick.py
@@ -113,7 +113,7 @@
         return found.server
 
     def acked(self, server):
-        """A successful try ends the server's row of failures."""
+        """Resets the server's count of consecutive failures after a successful try."""
         self.consecutive_failures.pop(server, None)
 
     def failed(self, now, server):
--- a/foxstep/proxy/program.py
+++ b/foxstep/proxy/program.py
@@ -14,8 +14,8 @@
 from foxstep.proxy.table import Table
 
 IDLE_CHECK_INTERVAL_S = 1.0
-# Keepalive intervals in the grace, so that a stalled controller is noticed early enough for its successor to
-# finish drains within the grace.
+# Keepalive intervals per grace, the time within which a drain must take effect. A stalled controller is thus
+# noticed early enough for its successor to finish drains within the grace.
 KEEPALIVES_PER_GRACE = 8
 
 
--- a/foxstep/site/types.py
+++ b/foxstep/site/types.py
@@ -44,7 +44,8 @@
     me: NonNegativeInt = 0  # number of this controller
     step: Duration = Duration(4_000)  # shortest interval between two batches of decisions
     peers: bool = False
-    exchange: PositiveFloat = 16_000.0  # bytes/s of facts that each sends to the others, besides membership
+    # Bytes/s of facts about servers and proxies that each sends to the others, besides membership.
+    exchange: PositiveFloat = 16_000.0
 
 
 class ServerList(Settings, kw_only=True):
@@ -75,12 +76,13 @@
     """The proxies of the fleet."""
 
     count: PositiveInt
-    standing: PositiveInt = 6
-    # Default retries: 0 none, 1 one if the try surely never ran, 2 one after any failure, 3 two.
+    standing: PositiveInt = 6  # servers in a proxy's static table, used until a controller sends one
+    # Default retries: 0 none, 1 one if the try provably never ran, 2 one after any failure
+    # that is safe to repeat, 3 two of these.
     usual_tries: Annotated[int, Meta(ge=0, le=3)] = 1
     try_aims: PositiveFloat = 1.0  # timeout of a try that may be repeated, in target latencies
-    fails_to_shun: NonNegativeInt = 0
-    keepalive: Duration = Duration(15_000_000)
+    fails_to_shun: NonNegativeInt = 0  # consecutive failures after which a proxy ejects a server; 0: never
+    keepalive: Duration = Duration(15_000_000)  # how long an idle connection to a server stays open
     level: Literal["rate", "share", "none"] = "none"
 
 
@@ -113,10 +115,11 @@
 class Rules(Settings, kw_only=True):
     """The limits that the guards of the program keep."""
 
-    bare: Duration
-    grace: Duration
-    cold_share: Fraction
-    ramp: Duration
+    bare: Duration  # longest time that a joined proxy may have no line for an op type
+    grace: Duration  # longest time that a draining or departed server may still get ops
+    cold_share: Fraction  # speed of a server at its start, as a fraction of its warm speed
+    ramp: Duration  # time in which a server warms up
+    # A cold server crashes if it gets more work within `fall` than this multiple of what it can do by then.
     fall_multiple: PositiveFloat
     fall: Duration
     dropped_stay_open: bool = False
--- a/foxstep/standins/server.py
+++ b/foxstep/standins/server.py
@@ -24,7 +24,8 @@
     `work`: op type -> mean work in seconds on one warm core. `cold`: (initial speed as a fraction of the warm
     one, ramp in seconds, multiple of its capacity that a cold process bears, window in seconds over which
     that is measured). `record(kind, **columns)` stores a row. `queue`: ops that may wait for a core.
-    `connections`: the most clients within 15 seconds.
+    `connections`: maximum number of clients within 15 seconds; ops beyond that are aborted.
+    `on_fall(server)` is called when it crashes under overload.
 
     Faults can be injected: `silent` (an event that all answers wait for), `slowdown` (a factor on durations),
     `error_rates` (op type -> fraction of errors) and `answer_loss` (fraction of answers that are held
