--- a/foxstep/commands/line.py
+++ b/foxstep/commands/line.py
@@ -161,7 +161,7 @@
 
 @main.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--orders", type=click.Path(dir_okay=False), help="write the orders to this file, one a line")
+@click.option("--orders", type=click.Path(dir_okay=False), help="write the orders to this file, one per line")
 @click.option("--on", "continue_after_difference", is_flag=True, help="continue after the first difference")
 def replay(folder, orders, continue_after_difference):
     """Replay the capture in FOLDER with this version; exit 0 only if all orders are the same."""
--- a/foxstep/proxy/listener.py
+++ b/foxstep/proxy/listener.py
@@ -236,8 +236,7 @@
         if self.server:
             self.server.close()
         for client in self.clients:
-            # Sends GOAWAY. Then h2 would refuse to send anything on the connection, so its state is reset: the
-            # open ops are still to be answered.
+            # Sends GOAWAY. h2 then refuses to send on the connection, so its state is reset for the open ops.
             client.http2.close_connection(last_stream_id=client.http2.highest_inbound_stream_id)
             client.http2.state_machine.state = h2.connection.ConnectionState.SERVER_OPEN
             client.flush()
--- a/foxstep/site/types.py
+++ b/foxstep/site/types.py
@@ -44,7 +44,7 @@
     me: NonNegativeInt = 0  # number of this controller
     step: Duration = Duration(4_000)  # shortest interval between two batches of decisions
     peers: bool = False
-    # Bytes/s of facts about servers and proxies that each sends to the others, besides membership.
+    # Bytes/s of facts (see `peers/facts.py`) that each sends to the others, besides membership.
     exchange: PositiveFloat = 16_000.0
 
 
--- a/foxstep/standins/reporter.py
+++ b/foxstep/standins/reporter.py
@@ -162,7 +162,7 @@
                 pair = (self.load_report(now - began), self.usage_report(now - began))
                 began = now
                 if self.group.paused:
-                    delayed = [*delayed, pair][-200:]
+                    delayed = [*delayed, pair][-200:]  # the queue is bounded: the oldest are dropped
                     continue
                 due = [*delayed, pair]
                 delayed = []
--- a/foxstep/standins/sasp_relay.py
+++ b/foxstep/standins/sasp_relay.py
@@ -1,6 +1,6 @@
 """A relay between SASP balancers and a controller: passes on their TCP sessions and records the advice.
 
-It parses the messages itself and shares no code with the controller.
+It parses the messages with `sasp_layout` and shares no code with the controller.
 """
 
 import ipaddress
@@ -40,6 +40,7 @@
 
     async def relay(self, client):
         self.streams += 1
+        # The offset keeps these numbers apart from those of the gRPC streams in a record.
         session = {"stream": 1_000_000 + self.streams, "balancer": None, "held": {}}
         async with client:
             with suppress(*CLOSED):
--- a/foxstep/standins/stock_client.py
+++ b/foxstep/standins/stock_client.py
@@ -13,7 +13,7 @@
 
 
 async def main(settings):
-    """Sends ops until the stated time is over or standard input is closed."""
+    """Sends ops until the time in `settings` is over or standard input is closed."""
     import grpc
 
     rate = settings["rate"]
