--- a/foxstep/drills/player.py
+++ b/foxstep/drills/player.py
@@ -493,7 +493,7 @@
             for relay in self.relays:
                 await relay.upstream.close()
 
-    # -- events
+    # -- events: a method `do_VERB` for each verb of `notation.EVENTS`, except the two of reporters above
 
     async def do_burst(self, factor, seconds):
         self.traffic_factor = factor
--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -65,6 +65,7 @@
 class ControllerClient:
     """Connects to one controller at a time and applies its tables, retry modes and levels to `forwarder`.
 
+    `rate`: ops per second of this proxy, which it sends to the controller. `clock` returns seconds.
     `redial_delay`: (min, max) seconds before connecting again. `stall_per_line`: seconds that the proxy
     forwards nothing for each table line that it receives. `keepalive_ms`: HTTP/2 keepalive interval; an
     unresponsive controller is noticed after three of them.
--- a/foxstep/proxy/levels.py
+++ b/foxstep/proxy/levels.py
@@ -41,6 +41,7 @@
     """Each op type has a rate, a share, both or neither.
 
     `retry_after`: microseconds that a rejected client is told to wait if its level gives no time itself.
+    `now` is in microseconds.
     """
 
     def __init__(self, seed, retry_after):
--- a/foxstep/proxy/pick.py
+++ b/foxstep/proxy/pick.py
@@ -28,7 +28,8 @@
 class Picker:
     """Weighted picker with ejection.
 
-    `eject_after` failed tries in a row (0: never) eject a server for `eject_for` microseconds.
+    `eject_after` failed tries in a row (0: never) eject a server for `eject_for` microseconds. `now`
+    is in microseconds.
     """
 
     def __init__(self, seed=0, eject_after=0, eject_for=0):
--- a/tests/test_proxy_fuzz.py
+++ b/tests/test_proxy_fuzz.py
@@ -43,6 +43,7 @@
 
 
 def talk(protocol, pieces):
+    """Feeds the pieces to a protocol until it closes its transport, then reports the connection as lost."""
     transport = FakeTransport()
     protocol.connection_made(transport)
     for piece in pieces:
