--- a/foxstep/xds/listing.py
+++ b/foxstep/xds/listing.py
@@ -37,7 +37,7 @@
     for resource in response.resources:
         message = endpoint_pb2.ClusterLoadAssignment()
         if not resource.Unpack(message):
-            raise InvalidList(f"resource is not an assignment but {resource.type_url[:100]}")
+            raise InvalidList(f"not an assignment but {resource.type_url[:100]}")
         if message.cluster_name == cluster:
             assignment = message
     if assignment is None:
