--- a/foxstep/commands/serve.py
+++ b/foxstep/commands/serve.py
@@ -13,8 +13,8 @@
 from foxstep.live.clocks import clock, wall
 from foxstep.live.serving import ServingHost
 from foxstep.operate.service import OperatorService
-from foxstep.peers.learning import Learning
-from foxstep.peers.sharing import Sharing
+from foxstep.peers.coordinator import PeerCoordinator
+from foxstep.peers.fact_exchange import FactExchange
 from foxstep.sasp.front import SaspFront
 from foxstep.xds.front import MAX_REPORT_BYTES, Front
 from foxstep.xds.listing import ListClient
@@ -79,7 +79,7 @@
     log = structlog.get_logger("foxstep")
     shared = shared or {}
     me = shared.get("me", site.controllers.me)
-    settings = {**site.plain(), "me": me, "zone": shared.get("zone") or site.zone}
+    settings = {**site.settings_map(), "me": me, "zone": shared.get("zone") or site.zone}
     capture_writers = []
     make = capturing(make, capture, capture_writers) if capture else make
     host = ServingHost(settings, seed, clock, wall, state, disabled_guards, make, site.reports.cpu_part)
@@ -91,11 +91,11 @@
     server = grpc.aio.server(options=SERVER_OPTIONS)
     front.add_to(server)
     coordinator = None
-    fact_exchange = Learning(host, me, site.controllers.exchange)
+    fact_exchange = FactExchange(host, me, site.controllers.exchange)
     if shared.get("peers"):
         notes_host, _, notes_port = shared["notes"].rpartition(":")
         notes = await anyio.create_udp_socket(local_host=notes_host, local_port=int(notes_port))
-        coordinator = Sharing(
+        coordinator = PeerCoordinator(
             host, fact_exchange, site.name, me, shared["peers"], notes, shared.get("lose", 0.0)
         )
     server.add_generic_rpc_handlers((OperatorService(host, coordinator),))
@@ -140,7 +140,7 @@
             host.store.close()
             for writer in capture_writers:
                 writer.close()
-        log.info("stopped", orders=host.orders, messages=host.channel.sent_messages)
+        log.info("stopped", orders=host.order_count, messages=host.channel.sent_messages)
 
 
 def run(
@@ -159,7 +159,7 @@
     """Runs `serve` with the decision module of that name; see there for the arguments."""
     make = Controller
     if decider == "even":
-        from foxstep.drills.even import Even as make
+        from foxstep.drills.round_robin import RoundRobin as make
     anyio.run(
         serve,
         site,
--- a/foxstep/intake/intake.py
+++ b/foxstep/intake/intake.py
@@ -210,7 +210,10 @@
         if usage:
             factor = self.bounding_factor(reporter, 1, total / max(window, self.cycle / 4))
             if factor < 1:
-                usage = {op_type: (ops * factor, out * factor) for op_type, (ops, out) in usage.items()}
+                usage = {
+                    op_type: (ops * factor, unanswered * factor)
+                    for op_type, (ops, unanswered) in usage.items()
+                }
             self.sums.add_usage(now, proxy, usage, window, lost)
 
     def bounding_factor(self, reporter, which, rate):
@@ -244,7 +247,7 @@
             if verb == "heard":
                 server, zone, tries, aborted, latency, window, load = fields
                 controller.heard(now, server, zone, tries, aborted, latency, window, load)
-                evidence.met(now, tries, aborted, latency * (tries - aborted))
+                evidence.record_tries(now, tries, aborted, latency * (tries - aborted))
             else:
                 controller.used(now, *fields)
         return lines
--- a/foxstep/live/channel.py
+++ b/foxstep/live/channel.py
@@ -3,8 +3,8 @@
 No I/O; the time is passed in. At most `backlog` lines wait, message heads included, and no proxy is written
 more than `max_messages` messages within the window. Each proxy has at most one message waiting and later ones
 are merged into it, so a proxy that cannot be written costs a bounded number of lines and delays no other.
-Messages beyond these limits are deferred: they are kept beside the queue, do not count as waiting, and enter
-the queue as soon as there is room.
+Messages beyond these limits are deferred: they are kept apart from the queue, do not count as waiting, and
+enter the queue as soon as there is room.
 """
 
 from collections import deque
@@ -13,7 +13,11 @@
 
 
 class Channel:
-    """`bounded` is False only in a drill that shows what the limits of the queue are for."""
+    """The queue of messages to all proxies, sent at `lines_per_s`.
+
+    `max_messages`: messages to one proxy within `messages_window` microseconds; 0 for no limit. `bounded` is
+    False only in a drill that shows what the limits of the queue are for.
+    """
 
     def __init__(self, lines_per_s, backlog, max_messages=0, messages_window=10 * SECOND_US, bounded=True):
         self.lines_per_s, self.backlog = lines_per_s, backlog
@@ -23,7 +27,7 @@
         self.waiting = 0  # lines in the queue
         self.sending, self.free_at = 0, 0  # lines being sent, and when the last of them is out
         self.write_times = {}  # proxy -> deque of write times within the window
-        self.sent_lines = self.sent_messages = self.most_waiting = 0
+        self.sent_lines = self.sent_messages = self.max_waiting = 0
 
     def drop(self, proxy):
         """Discards what waits for a proxy whose stream broke or is new, and resets its message count."""
@@ -42,7 +46,7 @@
             return
         queued = self.queue.get(proxy)
         if proxy in self.deferred:
-            self.deferred[proxy].fold(message)
+            self.deferred[proxy].merge(message)
             self.queue_deferred(now)
         elif queued is None and self.fits(now, message.cost):
             self.queue[proxy] = message
@@ -51,11 +55,11 @@
             self.merge(queued, message)
         else:
             self.deferred[proxy] = message
-        self.most_waiting = max(self.most_waiting, self.lines_waiting(now))
+        self.max_waiting = max(self.max_waiting, self.lines_waiting(now))
 
     def merge(self, queued, message):
         self.waiting -= queued.cost
-        queued.fold(message)
+        queued.merge(message)
         self.waiting += queued.cost
 
     def fits(self, now, lines):
@@ -77,7 +81,7 @@
             else:
                 self.queue[proxy] = message
                 self.waiting += message.cost
-        self.most_waiting = max(self.most_waiting, self.lines_waiting(now))
+        self.max_waiting = max(self.max_waiting, self.lines_waiting(now))
 
     def next_write_at(self, now, proxy):
         """When the limit on messages to one proxy permits the next one: `now` or a later time."""
--- a/foxstep/measure/proxy.py
+++ b/foxstep/measure/proxy.py
@@ -1,4 +1,4 @@
-"""`foxstep measure-proxy`: the proxy's overhead, beside a direct client and a plain TCP relay."""
+"""`foxstep measure-proxy`: the proxy's overhead, compared with a direct client and a plain TCP relay."""
 
 import asyncio
 import os
@@ -17,7 +17,7 @@
 from foxstep.proxy.program import Proxy
 from foxstep.site import read_site
 from foxstep.site.load import EXAMPLES
-from foxstep.standins.lists import ListService
+from foxstep.standins.list_service import ListService
 
 # A gRPC server that echoes, and a TCP relay; each prints its port and runs in a process of its own.
 SERVER_SOURCE = """
@@ -190,7 +190,7 @@
                     Proxy(
                         f"p{k}",
                         "east",
-                        site.plain(),
+                        site.settings_map(),
                         site.name,
                         op_types,
                         [f"127.0.0.1:{port}"],
--- a/foxstep/peers/sharing.py
+++ b/foxstep/peers/coordinator.py
@@ -5,16 +5,19 @@
 from foxstep.peers.bounds import heal_bound
 from foxstep.peers.facts import is_valid_fact
 from foxstep.peers.membership import GONE, Membership
-from foxstep.peers.notes import Notes
-from foxstep.peers.place import RedirectScheduler
+from foxstep.peers.placement import RedirectScheduler
+from foxstep.peers.transport import PeerTransport
 
 SECOND_US = 1_000_000
 PERIODS_PER_GRACE = 8  # ping periods: a failure is detected well before the grace for a drain has passed
 
 
-class Sharing:
-    """`peers` maps the numbers of all other controllers to (address for messages, address for proxies,
-    zone). `drop_ratio` is the fraction of messages that a drill discards."""
+class PeerCoordinator:
+    """Connects one controller (number `me`) with its peers.
+
+    `peers` maps the numbers of all other controllers to (address for messages, address for proxies, zone).
+    `drop_ratio` is the fraction of messages that a drill discards.
+    """
 
     def __init__(self, host, fact_exchange, site_name, me, peers, socket, drop_ratio=0.0):
         self.host = host
@@ -26,34 +29,38 @@
         )
         zones = {me: host.site["zone"], **{i: peer[2] for i, peer in peers.items()}}
         table_cost = host.site["head"] + 1 + host.site["standing"]
-        self.homing = RedirectScheduler(me, zones, period, table_cost, host.site["lines_per_s"])
+        self.redirect_scheduler = RedirectScheduler(me, zones, period, table_cost, host.site["lines_per_s"])
         fact_exchange.period = period
-        self.transport = Notes(
+        self.transport = PeerTransport(
             site_name,
             self.membership,
             socket,
             host.clock,
-            lambda: len(host.joins),
+            lambda: len(host.joined_proxies),
             drop_ratio,
             fact_exchange.replica,
             is_valid_fact,
         )
 
     async def redirect_proxies(self):
+        """Redirects proxies to their home controllers, one at a time, until cancelled."""
         while True:
             now, members = self.host.clock(), self.membership.members
             others = {i: (m.up_since, m.heard_at or 0) for i, m in members.items() if m.state != GONE}
             all_proxies = {**self.fact_exchange.peer_facts.proxies_of(others), **self.fact_exchange.zones()}
-            redirect = self.homing.next_redirect(now, self.host.at_home_elsewhere(), all_proxies, others)
+            redirect = self.redirect_scheduler.next_redirect(
+                now, self.host.redirectable_proxies(), all_proxies, others
+            )
             if redirect:
                 proxy, home = redirect
-                self.host.send_home(proxy, self.peers[home][1])
-            wait = min(max(self.homing.next_at - now, 1_000), self.membership.period // 4)
+                self.host.redirect(proxy, self.peers[home][1])
+            wait = min(max(self.redirect_scheduler.next_at - now, 1_000), self.membership.period // 4)
             await anyio.sleep(wait / SECOND_US)
 
     async def exchange_with_peers(self):
-        await self.transport.ask_facts()
-        await self.transport.answer_facts()
+        """Requests facts that are lacking here, and sends peers what they lack."""
+        await self.transport.send_digest()
+        await self.transport.send_answers()
 
     async def leave(self):
         """Tells the peers that this controller ends."""
@@ -61,14 +68,15 @@
         await self.transport.send_due()
 
     def view(self):
+        """Returns plain values for an operator."""
         now = self.host.clock()
         return {
             "me": self.membership.me,
             "incarnation": self.membership.incarnation,
             "epoch": self.host.epoch,
             "alive": self.membership.alive(),
-            "draining": self.homing.leaving,
-            "proxies": {ident: joined.zone for ident, joined in self.host.joins.items()},
+            "draining": self.redirect_scheduler.draining,
+            "proxies": {ident: joined.zone for ident, joined in self.host.joined_proxies.items()},
             "notes": {
                 "sent": self.transport.sent,
                 "heard": self.transport.received,
@@ -78,14 +86,16 @@
             },
             "peers": self.membership.view(now),
             "away": {
-                p: h for p, h in self.homing.homes.items() if p in self.host.joins and h != self.membership.me
+                p: h
+                for p, h in self.redirect_scheduler.homes.items()
+                if p in self.host.joined_proxies and h != self.membership.me
             },
             "facts": {str(i): self.fact_exchange.summary_of(now, i) for i in self.peers},
             "heals_within_ms": heal_bound(
                 self.membership.period,
                 len(self.peers),
-                self.homing.spacing,
-                len(self.host.joins),
+                self.redirect_scheduler.spacing,
+                len(self.host.joined_proxies),
             )
             // 1000,
         }
--- a/foxstep/peers/learning.py
+++ b/foxstep/peers/fact_exchange.py
@@ -23,8 +23,10 @@
 SAVE_INTERVAL_CYCLES = 10  # report cycles between two writes of the facts to the store
 
 
-class Learning:
-    """`bytes_per_s` limits what is sent to peers. `period` is the time between two exchanges in
+class FactExchange:
+    """Exchanges the facts of one controller, whose number is `me`, with its peers.
+
+    `bytes_per_s` limits what is sent to peers. `period` is the time between two exchanges in
     microseconds."""
 
     def __init__(self, host, me, bytes_per_s=16_000, period=250_000):
@@ -45,7 +47,7 @@
     def restore(self, saved, wall):
         """Loads what the store holds: (wall clock time of the save, a map for each lane).
 
-        If the wall clock has been set back, the age is unknown and the facts are trusted by half.
+        If the wall clock has been set back, the age is unknown and the trust in the facts is one half.
         """
         if not saved:
             return
@@ -57,12 +59,12 @@
             lane.confirmed_at = now - age
             for count, (key, value) in enumerate(facts.items(), 1):
                 if value is not None and is_valid_fact(number, key, value):
-                    lane.take(key, Fact(value, count, now - age))
+                    lane.apply(key, Fact(value, count, now - age))
 
     def save(self, now):
         self.save_at = now + SAVE_INTERVAL_CYCLES * self.host.site["cycle"]
         lanes = [
-            {key: fact.value for key, fact in self.replica.of[self.me, n].live().items()}
+            {key: fact.value for key, fact in self.replica.lane_by_key[self.me, n].live().items()}
             for n in range(LANE_COUNT)
         ]
         if lanes != self.saved and any(lanes):
@@ -76,22 +78,27 @@
 
     def proxy_left(self, proxy, rate):
         rate = max(rate, DEFAULT_RATE)
-        rates = sum(self.rates().values()) + rate
-        self.peer_facts.proxy_left(self.host.clock(), proxy, self.host.controller.capacity, rate, rates)
+        total_rate = sum(self.rates().values()) + rate
+        self.peer_facts.proxy_left(self.host.clock(), proxy, self.host.controller.capacity, rate, total_rate)
 
     def rates(self):
-        return {i: max(j.rate, DEFAULT_RATE) for i, j in self.host.joins.items() if j.rate is not None}
+        """Returns proxy -> ops per second of the proxies served here."""
+        return {
+            i: max(j.rate, DEFAULT_RATE) for i, j in self.host.joined_proxies.items() if j.rate is not None
+        }
 
     def zones(self):
         """Returns proxy -> zone of the proxies served here."""
-        return {i: j.zone for i, j in self.host.joins.items() if j.rate is not None}
+        return {i: j.zone for i, j in self.host.joined_proxies.items() if j.rate is not None}
 
     # -- exchange
 
     def exchange(self):
         """Publishes what is known here, and applies the peers' facts received since the last call."""
         host, now = self.host, self.host.clock()
-        holders = {p: str(h.held) for p in host.joins if (h := host.desk.ledger.holder(p)).held}
+        holders = {
+            p: str(h.held) for p in host.joined_proxies if (h := host.table_manager.ledger.holder(p)).held
+        }
         self.publisher.publish(
             now,
             host.listed_lines,
@@ -107,9 +114,9 @@
         news.update(dict.fromkeys(s for s in host.listed_lines if s not in self.known_servers))
         self.replica.changed.clear()
         self.known_servers = dict.fromkeys(host.listed_lines)
-        lines = self.peer_facts.changed_lines(now, host.listed_lines, host.told_at)
-        if lines or self.peer_facts.overrides != host.shaded:
-            host.shade(dict(self.peer_facts.overrides), lines)
+        lines = self.peer_facts.changed_lines(now, host.listed_lines, host.state_since)
+        if lines or self.peer_facts.overrides != host.line_overrides:
+            host.override_lines(dict(self.peer_facts.overrides), lines)
         host.learnt(self.peer_facts.weights(now, [s for s in news if s in host.listed_lines]))
         change = self.peer_facts.capacity_gained(
             host.controller.capacity, self.rates()
@@ -122,9 +129,9 @@
     def raise_epoch(self):
         """Moves to an epoch above any that peers have seen of this controller and its store has lost, and so
         above the versions that its proxies hold."""
-        ledger, highest = self.host.desk.ledger, self.replica.newer_own_epoch
+        ledger, highest = self.host.table_manager.ledger, self.replica.newer_own_epoch
         if highest:
-            ledger.outrank(Version(highest + 1, 0))
+            ledger.raise_epoch_above(Version(highest + 1, 0))
             self.replica.begin_epoch(epoch_after(max(ledger.epoch, highest), self.me))
             self.replica.newer_own_epoch = 0
             self.host.log.warning("outranked", by="its own epoch before the restart", epoch=ledger.epoch)
--- a/foxstep/proxy/control.py
+++ b/foxstep/proxy/control.py
@@ -18,7 +18,7 @@
 from google.protobuf.message import DecodeError
 
 from foxstep.proxy.retries import NEVER, ONCE, PROVEN, TWICE
-from foxstep.proxy.table import Over, Refused
+from foxstep.proxy.table import ChangeRejected, StaleEpoch
 
 TYPE_PREFIX = "type.googleapis.com/envoy.config."
 ASSIGNMENT_TYPE = TYPE_PREFIX + "endpoint.v3.ClusterLoadAssignment"  # only its drop overloads are read
@@ -65,6 +65,7 @@
 class ControllerClient:
     """Connects to one controller at a time and applies its tables, retry modes and levels to `forwarder`.
 
+    `rate`: ops per second of this proxy, which it sends to the controller. `clock` returns seconds.
     `redial_delay`: (min, max) seconds before connecting again. `stall_per_line`: seconds that the proxy
     forwards nothing for each table line that it receives. `keepalive_ms`: HTTP/2 keepalive interval; an
     unresponsive controller is noticed after three of them.
@@ -105,7 +106,7 @@
         self.refusals = 0
         self.channels = {}
         self.avoid_until = {}  # controller -> time until which others are preferred
-        self.failed_dials = 0  # connections in a row on which no response came
+        self.failed_dials = 0  # consecutive connections on which no response came
         self.redirect_to = ""  # the controller that the last one redirected this proxy to
         self.report_interval = DEFAULT_REPORT_INTERVAL_S  # seconds, as the controller asked for
         self.interval_changed = anyio.Event()
@@ -237,9 +238,9 @@
                 lines = self.apply_response(response)
                 if lines and self.stall_per_line:
                     self.forwarder.stall(lines * self.stall_per_line)
-            except Refused as refused:
+            except ChangeRejected as refused:
                 self.refusals = self.refusals + 1
-                stale = isinstance(refused, Over)
+                stale = isinstance(refused, StaleEpoch)
                 answer.error_detail.code = 3
                 answer.error_detail.message = str(refused)
                 self.log.warning("table refused", why=str(refused))
@@ -249,11 +250,11 @@
         raise EOFError("the controller ended the stream")
 
     def apply_response(self, response):
-        """Applies a response as a whole and returns its number of table lines. Raises Refused."""
+        """Applies a response as a whole and returns its number of table lines. Raises ChangeRejected."""
         try:
             return self.apply_parsed(response)
         except DecodeError as error:
-            raise Refused(f"not to be read: {error}"[:200]) from None
+            raise ChangeRejected(f"not to be read: {error}"[:200]) from None
 
     def apply_parsed(self, response):
         """Does the work of `apply_response`; also raises DecodeError for an unreadable resource."""
@@ -262,15 +263,15 @@
             for resource in response.resources:
                 line = endpoint_components_pb2.LbEndpoint()
                 if not resource.resource.Unpack(line):
-                    raise Refused(f"not a line but {resource.resource.type_url[:80]}")
+                    raise ChangeRejected(f"not a line but {resource.resource.type_url[:80]}")
                 address = line.endpoint.address.socket_address
                 server = resource.name.rpartition("/")[2]
                 host = f"[{address.address}]" if ":" in address.address else address.address
                 if server != f"{host}:{address.port_value}":
-                    raise Refused(f"a line named {server[:60]} for {host[:60]}:{address.port_value}")
+                    raise ChangeRejected(f"a line named {server[:60]} for {host[:60]}:{address.port_value}")
                 changed[server] = line.load_balancing_weight.value
             removed = [name.rpartition("/")[2] for name in response.removed_resources]
-            lines = self.table.take(response.system_version_info, changed, removed)
+            lines = self.table.apply(response.system_version_info, changed, removed)
             self.forwarder.set_table(self.table.lines)
             return lines
         if response.type_url == ASSIGNMENT_TYPE:
@@ -304,7 +305,7 @@
         await call.write(lrs_pb2.LoadStatsRequest(node=self.node()))
         answer = await call.read()
         if answer is grpc.aio.EOF:
-            raise EOFError("the controller wants no load reports")
+            raise EOFError("the controller closed the load report stream")
         self.set_interval(answer)
         self.forwarder.reports.forget()
         async with anyio.create_task_group() as group:
@@ -312,7 +313,7 @@
             group.start_soon(self.send_load_reports, call)
 
     def set_interval(self, answer):
-        """Takes over the report interval from a response, and wakes those who wait for the old one."""
+        """Takes over the report interval from a response, and wakes the tasks that wait for the old one."""
         self.report_interval = min(
             max(answer.load_reporting_interval.ToNanoseconds() / 1e9, 0.05), MAX_REPORT_INTERVAL_S
         )
--- a/foxstep/proxy/forward.py
+++ b/foxstep/proxy/forward.py
@@ -32,7 +32,9 @@
     """Forwards each op to a server of the table.
 
     `op_types`: dicts with `name`, `method` and `op_timeout` (microseconds). `clock` returns seconds.
-    `note(kind, ...)` is called for each try that is sent.
+    `keepalive`: seconds after which an idle connection to a server is closed. `connect_timeout`: in seconds.
+    `connections`: maximum number of connections to one server. `note(kind, ...)` is called for each try
+    that is sent.
     """
 
     def __init__(
@@ -227,7 +229,7 @@
             else:
                 if not failed:
                     return 0, load
-                if op.cancelled or op.number not in op.client.ops:
+                if op.cancelled or op.stream_id not in op.client.ops:
                     return True, load  # the trailers were passed on
                 raise TryFailed("cut", "the answer ended without a status")
 
--- a/foxstep/sasp/front.py
+++ b/foxstep/sasp/front.py
@@ -13,9 +13,9 @@
 from foxstep.advice.advisor import line_name, split_line_name
 from foxstep.advice.registry import Registry, Result
 from foxstep.sasp import wire
-from foxstep.sasp.wire import Code, Flag, Kind, Message, Weight
-from foxstep.tables.desk import ADVICE
+from foxstep.sasp.wire import Code, Flag, Message, MessageType, Weight
 from foxstep.tables.ledger import thousandths
+from foxstep.tables.manager import ADVICE
 
 SECOND_US = 1_000_000
 WRITE_TIMEOUT_S = 10.0  # a peer that reads nothing for so long is disconnected
@@ -40,12 +40,12 @@
     Result.UNKNOWN_BALANCER: Code.UNKNOWN_BALANCER,
     Result.NO_CONTACT: Code.NO_CONTACT,
 }
-REPLY_KINDS = {
-    Kind.REGISTRATION_REQUEST: Kind.REGISTRATION_REPLY,
-    Kind.DEREGISTRATION_REQUEST: Kind.DEREGISTRATION_REPLY,
-    Kind.GET_WEIGHTS_REQUEST: Kind.GET_WEIGHTS_REPLY,
-    Kind.SET_LB_STATE_REQUEST: Kind.SET_LB_STATE_REPLY,
-    Kind.SET_MEMBER_STATE_REQUEST: Kind.SET_MEMBER_STATE_REPLY,
+REPLY_TYPES = {
+    MessageType.REGISTRATION_REQUEST: MessageType.REGISTRATION_REPLY,
+    MessageType.DEREGISTRATION_REQUEST: MessageType.DEREGISTRATION_REPLY,
+    MessageType.GET_WEIGHTS_REQUEST: MessageType.GET_WEIGHTS_REPLY,
+    MessageType.SET_LB_STATE_REQUEST: MessageType.SET_LB_STATE_REPLY,
+    MessageType.SET_MEMBER_STATE_REQUEST: MessageType.SET_MEMBER_STATE_REPLY,
 }
 
 
@@ -59,7 +59,10 @@
 
 
 class Outlet:
-    """One balancer's changes on their way from the host, which delivers them, to its connection."""
+    """The `live.host.ProxyStream` of one balancer.
+
+    Collects the changes that the host delivers until the balancer's connection writes them.
+    """
 
     def __init__(self, connection, ident, name):
         self.connection = connection
@@ -72,8 +75,8 @@
     def deliver(self, holding, message):
         self.holding = holding
         self.changed.update(dict.fromkeys(name for _, name in message.lines))
-        self.version = message.meant.name() if message.meant else self.version
-        self.ordered_at = self.ordered_at or message.first_at
+        self.version = message.target_table.name() if message.target_table else self.version
+        self.ordered_at = self.ordered_at or message.first_ordered_at
         self.connection.wake_push.set()
 
     def end(self, reason):
@@ -147,7 +150,7 @@
             except wire.UnsupportedVersion as unsupported:
                 self.front.log.warning("other version", why=str(unsupported))
                 return await self.send(
-                    Message(Kind.SET_LB_STATE_REPLY, unsupported.message_id, code=Code.NOT_UNDERSTOOD)
+                    Message(MessageType.SET_LB_STATE_REPLY, unsupported.message_id, code=Code.NOT_UNDERSTOOD)
                 )
             except wire.MalformedMessage as malformed:
                 self.front.log.warning("malformed", why=str(malformed))
@@ -157,34 +160,38 @@
     async def send(self, message):
         async with self.lock:
             with anyio.fail_after(WRITE_TIMEOUT_S):
-                await self.stream.send(wire.write(message._replace(length_convention=self.length_convention)))
+                await self.stream.send(
+                    wire.encode(message._replace(length_convention=self.length_convention))
+                )
 
     # -- received messages
 
     async def handle_message(self, data):
         try:
-            message = wire.read(data)
+            message = wire.decode(data)
         except wire.MalformedMessage as malformed:
             # Its frame was valid, so it can be answered, and the next message be read.
             kind = wire.COMPONENT.unpack_from(data, wire.HEADER_SIZE)[0]
             self.front.log.warning("not understood", why=str(malformed))
-            if kind not in list(REPLY_KINDS):
+            if kind not in list(REPLY_TYPES):
                 raise
             message_id = wire.HEADER.unpack_from(data)[4]
-            return await self.send(Message(REPLY_KINDS[Kind(kind)], message_id, code=Code.NOT_UNDERSTOOD))
-        if message.kind not in REPLY_KINDS:
             return await self.send(
-                Message(Kind.SET_LB_STATE_REPLY, message.message_id, code=Code.NOT_UNDERSTOOD)
+                Message(REPLY_TYPES[MessageType(kind)], message_id, code=Code.NOT_UNDERSTOOD)
+            )
+        if message.kind not in REPLY_TYPES:
+            return await self.send(
+                Message(MessageType.SET_LB_STATE_REPLY, message.message_id, code=Code.NOT_UNDERSTOOD)
             )
         self.length_convention = message.length_convention if message.groups else self.length_convention
         handlers = {
-            Kind.REGISTRATION_REQUEST: self.register_members,
-            Kind.DEREGISTRATION_REQUEST: self.deregister_members,
-            Kind.SET_LB_STATE_REQUEST: self.set_balancer_state,
-            Kind.SET_MEMBER_STATE_REQUEST: self.set_member_states,
+            MessageType.REGISTRATION_REQUEST: self.register_members,
+            MessageType.DEREGISTRATION_REQUEST: self.deregister_members,
+            MessageType.SET_LB_STATE_REQUEST: self.set_balancer_state,
+            MessageType.SET_MEMBER_STATE_REQUEST: self.set_member_states,
         }
-        reply = Message(REPLY_KINDS[message.kind], message.message_id)
-        if message.kind == Kind.GET_WEIGHTS_REQUEST:
+        reply = Message(REPLY_TYPES[message.kind], message.message_id)
+        if message.kind == MessageType.GET_WEIGHTS_REQUEST:
             code, groups, outlets = self.requested_weights(message)
             taken = [(outlet, *outlet.take_changes()[1:]) for outlet in outlets]
             await self.send(reply._replace(code=code, interval=self.front.poll_interval, groups=groups))
@@ -276,7 +283,7 @@
         if code := self.attach_balancer(message.balancer):
             return code
         flags, ident = message.flags, balancer_id(message.balancer)
-        answer = self.registry.set_balancer(
+        result = self.registry.set_balancer(
             ident,
             bool(flags & Flag.PUSH),
             bool(flags & Flag.TRUST),
@@ -284,7 +291,7 @@
             message.health,
         )
         self.outlets[ident].connection.wake_push.set()
-        return RESPONSE_CODES[answer]
+        return RESPONSE_CODES[result]
 
     # -- sent weights
 
@@ -298,9 +305,9 @@
             ident = balancer_id(group.balancer)
             if ident not in self.outlets:
                 return Code.UNKNOWN_BALANCER, (), ()
-            answer, found = self.registry.find_groups(ident, text_id(group.name))
-            if answer is not Result.DONE:
-                return RESPONSE_CODES[answer], (), ()
+            result, found = self.registry.find_groups(ident, text_id(group.name))
+            if result is not Result.DONE:
+                return RESPONSE_CODES[result], (), ()
             outlet = outlets[ident] = self.outlets[ident]
             groups += [
                 (
@@ -322,7 +329,7 @@
                     for group, weights in self.front.pushed_weights(outlet, balancer, lines):
                         # A push has no reply, so its message ID can carry the time of the order, in ms.
                         message_id = (ordered_at or 0) // 1000 % (1 << 32)
-                        await self.send(Message(Kind.SEND_WEIGHTS, message_id, ((group, weights),)))
+                        await self.send(Message(MessageType.SEND_WEIGHTS, message_id, ((group, weights),)))
                     outlet.mark_written(version, ordered_at)
             with anyio.move_on_after(WRITE_TIMEOUT_S):
                 await self.wake_push.wait()
@@ -330,7 +337,10 @@
 
 
 class SaspFront:
-    """`advice` is the plain map of the site's settings for it (balancers, groups, members, message, keep)."""
+    """The SASP front of one host.
+
+    `advice` is the plain map of the site's settings for it (balancers, groups, members, message, keep).
+    """
 
     def __init__(self, host, advice):
         self.host = host
@@ -342,7 +352,7 @@
             advice["groups"],
             advice["members"],
             advice["keep"],
-            host.desk.advice.max_lines(),
+            host.table_manager.advice.max_lines(),
         )
         # In seconds. A balancer that polls has to learn of a drain within the grace, so it polls twice in it,
         # as far as whole seconds allow.
@@ -351,6 +361,7 @@
         self.connections = 0
 
     def take_over(self, ident, outlet):
+        """Makes this a balancer's current outlet; an older session of the balancer is ended."""
         older, self.outlets[ident] = self.outlets.get(ident), outlet
         self.host.enrolled(ident, self.host.site["zone"], outlet)
         if older:
@@ -372,7 +383,7 @@
             state = "open" if weight else state  # a whole system: its weight reflects its servers' states
         if state != "open":
             weight = 0  # even if the change of the line still waits in the channel
-        warm = weight and self.host.desk.standing.get(server, (0, 0, 1))[2] == 1
+        warm = weight and self.host.table_manager.standing.get(server, (0, 0, 1))[2] == 1
         flags = (
             (Flag.CONTACT if state != "gone" else 0)
             | (Flag.QUIESCE if state != "open" or entry.quiesced else 0)
--- a/foxstep/standins/advised.py
+++ b/foxstep/standins/balancer.py
@@ -2,11 +2,11 @@
 
 import grpc
 
-from foxstep.sasp.balancer import Balancer
-from foxstep.standins.caller import Caller
+from foxstep.sasp.balancer import BalancerClient
+from foxstep.standins.client import ProxyClient
 
 
-class Advised(Caller):
+class AdvisedClient(ProxyClient):
     """A load client that picks the server itself. `balancer` receives the advice, one group for each op type.
 
     Without advice, and if no member has a weight, all members are picked alike.
@@ -14,7 +14,7 @@
 
     def __init__(self, ident, address, groups, timeouts, record, clock, seed):
         super().__init__(ident, timeouts, record, clock, seed)
-        self.balancer = Balancer(ident, address, groups)
+        self.balancer = BalancerClient(ident, address, groups)
         self.channels = {}
 
     def channel_for(self, op_type):
--- a/foxstep/tables/evidence.py
+++ b/foxstep/tables/evidence.py
@@ -51,8 +51,8 @@
                 last.last = version
         return self.intervals[-1] if self.intervals else None
 
-    def met(self, now, tries, aborted, latency):
-        """Adds one report line. `latency`: total latency of the acked tries, microseconds."""
+    def record_tries(self, now, tries, aborted, latency):
+        """Adds the results in one report. `latency`: total latency of the acked tries, microseconds."""
         interval = self.current(now)
         if interval:
             interval.tries += tries
--- a/foxstep/xds/front.py
+++ b/foxstep/xds/front.py
@@ -45,7 +45,7 @@
 
 
 class DiscoveryStream:
-    """One proxy's discovery stream, which is the host's outlet to the proxy."""
+    """One proxy's discovery stream, which the host writes to as a `live.host.ProxyStream`."""
 
     def __init__(self, front, node, incremental):
         metadata = node.metadata.fields
@@ -57,7 +57,7 @@
         self.supports_quotas = QUOTAS_FEATURE in node.client_features
         self.held_version = metadata["holds"].string_value if "holds" in metadata else ""
         self.incremental = incremental
-        self.goes_home = HOME_FEATURE in node.client_features
+        self.accepts_redirect = HOME_FEATURE in node.client_features
         self.redirect_address = ""
         epoch = front.host.epoch
         if incremental:
@@ -71,17 +71,17 @@
         self.wakeup = anyio.Event()
         self.reported_rates = {}  # index of an op type -> ops a second, as last reported
 
-    # -- as an outlet of the host
+    # -- as a stream of the host
 
     def deliver(self, holding, message):
         type_urls = []
         lines = (
             message.lines
-            or message.shut
+            or message.withdrawn
             or message.tables
             or message.emptied
             or message.whole
-            or message.meant
+            or message.target_table
         )
         levels = self.levels_as_drops() and message.levels
         if message.tables and not self.supports_quotas:
@@ -99,7 +99,7 @@
         if message.marks and not type_urls:
             type_urls.append(resources.ENDPOINT_TYPE if self.incremental else resources.ASSIGNMENT_TYPE)
         type_urls.sort(key=MARK_CARRIER_ORDER.index)
-        stamp = (message.first_at, message.cost)
+        stamp = (message.first_ordered_at, message.cost)
         if self.incremental:
             self.session.schedule(type_urls, message.marks, stamp, message.whole)
         else:
@@ -110,13 +110,13 @@
         self.end_reason = self.end_reason or reason
         self.wakeup.set()
 
-    def send_home(self, address):
+    def redirect(self, address):
         """Ends the stream and redirects the client to the controller at `address`.
 
         Only for clients with the feature `HOME_FEATURE`.
         """
         self.redirect_address = address
-        self.end("redirected to another controller")
+        self.end("its home is another controller")
 
     # -- as resources
 
@@ -152,7 +152,7 @@
         return self.front.host.allowed_tries(index, usual)
 
     def table_version(self, type_url):
-        table = self.holding.meant if type_url == resources.ASSIGNMENT_TYPE and self.holding else None
+        table = self.holding.target_table if type_url == resources.ASSIGNMENT_TYPE and self.holding else None
         return table.name() if table else None
 
     def weights(self):
@@ -160,9 +160,9 @@
 
         Only meaningful if all op types share one table.
         """
-        if self.holding is None or self.holding.meant is None:
+        if self.holding is None or self.holding.target_table is None:
             return {}, None
-        return self.holding.lines_of(0) or {}, self.holding.meant.name()
+        return self.holding.lines_of(0) or {}, self.holding.target_table.name()
 
     def render_versioned(self, type_url, names):
         """Returns name -> (version, message), for an incremental session."""
@@ -314,14 +314,15 @@
         self.op_types = op_types
         self.op_type_index = {o["name"]: k for k, o in enumerate(op_types)}
         self.streams, self.quota_streams, self.report_streams = {}, {}, {}
-        host.reader.read.update({TRIES: self.read_tries, USAGE: self.read_usage})
-        host.asked_anew = self.report_interval_changed
+        host.reader.handlers.update({TRIES: self.read_tries, USAGE: self.read_usage})
+        host.on_report_interval_changed = self.report_interval_changed
 
     def zone_of(self, server):
         line = self.host.listed_lines.get(server)
         return line[1] if line else ""
 
     def levels_changed(self, ident):
+        """Makes a proxy's quota stream write its changed levels."""
         quotas = self.quota_streams.get(ident)
         if quotas:
             quotas.wakeup.set()
@@ -335,7 +336,7 @@
         """Returns a new stream's first request; None if the stream ended. Aborts it after the timeout."""
         with suppress(TimeoutError):
             return await with_timeout(HANDSHAKE_TIMEOUT_S, anext(requests, None))
-        await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "no request received on this stream")
+        await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "nothing said on this stream")
 
     async def run_until_either_ends(self, reading, writing, context):
         """Reads and writes until either ends, then cancels the other. Returns why the stream ends."""
@@ -352,7 +353,7 @@
         except* StreamEnded as ended:
             reason = str(ended.exceptions[0])
         except* TimeoutError:
-            reason = f"client read nothing for {WRITE_TIMEOUT_S:.0f} s"
+            reason = f"took nothing for {WRITE_TIMEOUT_S:.0f} s"
         except* TooManyNames as too_many:
             reason = str(too_many.exceptions[0])
         except* (grpc.aio.UsageError, grpc.aio.InternalError, grpc.RpcError, asyncio.InvalidStateError):
@@ -375,7 +376,7 @@
         if not 0 < len(first.node.id) <= MAX_NODE_ID_LENGTH:
             await context.abort(
                 grpc.StatusCode.INVALID_ARGUMENT,
-                f"node.id needs 1 to {MAX_NODE_ID_LENGTH} characters, got {len(first.node.id)}",
+                f"node.id of 1 to {MAX_NODE_ID_LENGTH} bytes wanted, got {len(first.node.id)}",
             )
         ident, stream = first.node.id, DiscoveryStream(self, first.node, incremental)
         self.streams[ident] = stream
@@ -433,7 +434,7 @@
         limiter = StreamRateLimiter(self.host.clock())
         while request is not None:
             stream = self.streams.get(ident)
-            # Only reports of joined proxies are read: the others' are for another controller.
+            # Only reports of joined proxies are read: other proxies report to another controller.
             if stream and request.cluster_stats:
                 self.host.reader.offer(
                     self.host.clock(), ident, zone, TRIES, (stream, request), load_reports.line_count(request)
--- a/foxstep/xds/session.py
+++ b/foxstep/xds/session.py
@@ -45,7 +45,7 @@
         self.nonce = ""
         self.unanswered = deque(maxlen=MAX_UNANSWERED_RESPONSES)  # (nonce, marks, version), oldest first
         self.is_due = False
-        self.marks = []
+        self.marks = []  # (number, ordered at) of the marks that an ACK of the next response answers
         self.stamp = None  # (time ordered, lines) for the nonce of the next response
 
     def schedule(self, marks, stamp):
@@ -107,7 +107,7 @@
             return None  # requests for a type that is not served get no response, as the specification says
         if len(request.resource_names) > MAX_RESOURCE_NAMES:
             raise TooManyNames(
-                f"{len(request.resource_names)} resource names requested, {MAX_RESOURCE_NAMES} at most"
+                f"{len(request.resource_names)} resource names asked for, {MAX_RESOURCE_NAMES} at most"
             )
         subscription = self.subscriptions.setdefault(type_url, Subscription())
         names = list(dict.fromkeys(request.resource_names))
