--- a/tests/test_node_messages.py
+++ b/tests/test_node_messages.py
@@ -140,6 +140,13 @@
             assert reader.levels.get(name) == holding.level_of(index)
 
 
+def test_level_for_all_tables_is_sent_again_after_a_table_is_emptied():
+    """An update with `whole` makes the proxy drop its levels, also one that is still set for all tables."""
+    batches = [[("bind", 7, 2, 0), ("admit", None, 0, 0, 0)], [("empty", 2)]]
+    check = test_proxy_that_applies_all_updates_holds_what_was_ordered.hypothesis.inner_test
+    check(batches, folded=False)
+
+
 def test_long_table_is_split_into_parts_within_the_limits():
     desired = DesiredState(1, 4)
     desired.join(7)
